--- a/packages/operators/src/ConfigurationObjects/index.ts
+++ b/packages/operators/src/ConfigurationObjects/index.ts
@@ -1,31 +1,31 @@
 /**
- * Where the objects of an accepted document are read from, by digest.
+ * Sources from which the objects of an accepted document are read by digest.
  */
 import { RouterError, withTimeout, type Clock } from '@acaciacrank/base';
 import type { ObjectStore } from '@acaciacrank/store';
 import { z } from 'zod';
 
-/** A source of configuration objects; what it answers is checked against the digest. */
+/** A source of configuration objects. Callers verify the returned text against the digest. */
 export abstract class ConfigurationObjects {
   /**
    * Reads the text of an object.
    *
-   * @param digest - the object's name
-   * @returns its text; undefined when this source does not have it
-   * @throws RouterError when the source does not answer
+   * @param digest - the object's content address
+   * @returns its text; undefined if this source does not have it
+   * @throws RouterError if the source does not answer
    */
   abstract read(digest: string): Promise<string | undefined>;
 }
 
-/** Checks a configuration object in the store. */
-export const storedTextSchema = z.strictObject({
-  /** When it was last written, in milliseconds since 1970; the collection of garbage waits on it. */
+/** Schema of a configuration object in the store. */
+export const storedObjectSchema = z.strictObject({
+  /** When it was last written, in milliseconds since 1970; garbage collection skips new objects. */
   writtenAtMs: z.number(),
   text: z.string(),
 });
 
 /**
- * The key of a configuration object.
+ * The store key of a configuration object.
  *
  * @example
  * objectKey('kapiti', '0c…');
@@ -35,7 +35,7 @@
   return `config/${environment}/objects/${digest}`;
 }
 
-/** Objects in the platform's store. */
+/** Reads objects from the platform's object store. */
 export class StoreConfigurationObjects extends ConfigurationObjects {
   readonly #store: ObjectStore;
   readonly #environment: string;
@@ -48,12 +48,12 @@
 
   override async read(digest: string): Promise<string | undefined> {
     const stored = await this.#store.read(objectKey(this.#environment, digest));
-    const parsed = storedTextSchema.safeParse(stored?.value);
+    const parsed = storedObjectSchema.safeParse(stored?.value);
     return parsed.success ? parsed.data.text : undefined;
   }
 }
 
-/** Objects that are in memory already. */
+/** Reads objects from a map from digest to text. */
 export class MemoryConfigurationObjects extends ConfigurationObjects {
   readonly #texts: ReadonlyMap<string, string>;
 
@@ -67,32 +67,34 @@
   }
 }
 
-/** Bounds on the time of one read, in milliseconds. */
-const firstTimeoutMs = 1_500;
-const longestTimeoutMs = 12_000;
+/** Initial and maximum timeout of one read, in milliseconds. */
+const initialTimeoutMs = 1_500;
+const maxTimeoutMs = 12_000;
 
 /** Options of {@link OrderedConfigurationObjects}. */
 export interface OrderedConfigurationObjectsOptions {
-  /** In order of preference. */
+  /** The sources, in order of preference. */
   sources: readonly ConfigurationObjects[];
   clock: Clock;
-  /** How long one source may take at first, in milliseconds; doubles while it fails. */
+  /** Initial timeout of one read in milliseconds; doubles with each failure of a source. */
   timeoutMs?: number;
-  /** How long a source that failed is asked last, in milliseconds. */
-  avoidMs?: number;
+  /** How long a source is tried last after a failure, in milliseconds. */
+  deprioritizeMs?: number;
 }
 
 /**
- * Asks one source after the other.
+ * Reads from several sources with failover: the next source is tried when one fails or does not
+ * have the object.
  *
- * A store that is down fails each read only when its time is up. A change is several objects deep,
- * so waiting for that at each of them would take longer than a change may take: a source that
- * failed is asked last for a while. A store that is slow, not down, would fail for ever by a fixed
- * bound: the bound doubles with each failure and falls back with the first answer.
+ * Each read from an unavailable store lasts until its timeout. A change spans several levels of the
+ * tree, and one timeout per level would exceed the time within which a change must come into force.
+ * A source that failed is therefore tried last for a while. A fixed timeout would make a slow but
+ * working store fail on every read, so the timeout doubles with each failure and is reset by the
+ * first success.
  */
 export class OrderedConfigurationObjects extends ConfigurationObjects {
   readonly #options: OrderedConfigurationObjectsOptions;
-  readonly #avoidUntilMs = new Map<ConfigurationObjects, number>();
+  readonly #deprioritizedUntilMs = new Map<ConfigurationObjects, number>();
   readonly #timeoutMs = new Map<ConfigurationObjects, number>();
 
   constructor(options: OrderedConfigurationObjectsOptions) {
@@ -102,57 +104,60 @@
 
   override async read(digest: string): Promise<string | undefined> {
     let lastError: unknown;
-    for (const source of this.#inOrder()) {
+    for (const source of this.#orderSources()) {
       try {
-        const text = await this.#ask(source, digest);
+        const text = await this.#readFrom(source, digest);
         this.#timeoutMs.delete(source);
         if (text !== undefined) return text;
       } catch (error) {
         lastError = error;
-        this.#avoid(source);
+        this.#recordFailure(source);
       }
     }
-    // "Not there" is known only when every source has said so.
+    // The object is known to be missing only if every source has answered.
     if (lastError !== undefined) throw lastError as Error;
     return undefined;
   }
 
-  #ask(source: ConfigurationObjects, digest: string): Promise<string | undefined> {
+  #readFrom(source: ConfigurationObjects, digest: string): Promise<string | undefined> {
     return withTimeout(this.#options.clock, this.#timeoutOf(source), () => source.read(digest), {
       kind: 'storeUnavailable',
       what: `reading the configuration object ${digest}`,
     });
   }
 
-  #inOrder(): ConfigurationObjects[] {
+  #orderSources(): ConfigurationObjects[] {
     const nowMs = this.#options.clock.monotonicMs();
-    const isAvoided = (source: ConfigurationObjects) =>
-      (this.#avoidUntilMs.get(source) ?? -Infinity) > nowMs;
+    const isDeprioritized = (source: ConfigurationObjects) =>
+      (this.#deprioritizedUntilMs.get(source) ?? -Infinity) > nowMs;
     const { sources } = this.#options;
     return [
-      ...sources.filter((source) => !isAvoided(source)),
-      ...sources.filter((source) => isAvoided(source)),
+      ...sources.filter((source) => !isDeprioritized(source)),
+      ...sources.filter((source) => isDeprioritized(source)),
     ];
   }
 
   #timeoutOf(source: ConfigurationObjects): number {
-    return this.#timeoutMs.get(source) ?? this.#options.timeoutMs ?? firstTimeoutMs;
+    return this.#timeoutMs.get(source) ?? this.#options.timeoutMs ?? initialTimeoutMs;
   }
 
-  #avoid(source: ConfigurationObjects): void {
-    const { clock, avoidMs = 5_000 } = this.#options;
-    this.#timeoutMs.set(source, Math.min(longestTimeoutMs, 2 * this.#timeoutOf(source)));
-    this.#avoidUntilMs.set(source, clock.monotonicMs() + avoidMs);
+  #recordFailure(source: ConfigurationObjects): void {
+    const { clock, deprioritizeMs = 5_000 } = this.#options;
+    this.#timeoutMs.set(source, Math.min(maxTimeoutMs, 2 * this.#timeoutOf(source)));
+    this.#deprioritizedUntilMs.set(source, clock.monotonicMs() + deprioritizeMs);
   }
 }
 
 /**
- * Reads an object that must be there.
+ * Reads an object that must exist.
  *
- * @throws RouterError `notFound` when no source has it, or what the source throws
+ * @throws RouterError `notFound` if the source does not have the object, or the error of the source
  */
-export async function readRequired(source: ConfigurationObjects, digest: string): Promise<string> {
+export async function readRequiredObject(
+  source: ConfigurationObjects,
+  digest: string,
+): Promise<string> {
   const text = await source.read(digest);
   if (text !== undefined) return text;
-  throw new RouterError('notFound', `the configuration object ${digest} is not there`);
+  throw new RouterError('notFound', `configuration object ${digest} was not found`);
 }
--- a/packages/operators/src/ConfigurationWatcher/index.ts
+++ b/packages/operators/src/ConfigurationWatcher/index.ts
@@ -22,21 +22,21 @@
 import { manifestKey, parseManifest, type Manifest } from '../manifest/index.js';
 import { isTrial, recordTrialRun } from '../trialRuns/index.js';
 
-/** A configuration version that this instance acts on. */
+/** The configuration version that this instance uses. */
 export interface ConfigurationInForce {
   readonly version: number;
   readonly digest: string;
   readonly index: EnvironmentIndex;
-  /** When this instance began to act on it, in milliseconds since 1970. */
+  /** When this instance began to use it, in milliseconds since 1970. */
   readonly sinceMs: number;
-  /** What peers are given; see {@link ConfigurationWatcher.offer}. */
+  /** Sent to peers, which pass it to {@link ConfigurationWatcher.offer}. */
   readonly manifest: Manifest;
   readonly compiled: CompiledEnvironment;
 }
 
-/** A version that this instance knows of and could not take up. */
+/** A failure to read, load or record a configuration version. */
 export interface ConfigurationProblem {
-  /** undefined when even the version could not be read. */
+  /** undefined if the version could not be determined. */
   readonly version: number | undefined;
   readonly message: string;
   readonly sinceMs: number;
@@ -47,30 +47,31 @@
   store: ObjectStore;
   clock: Clock;
   environment: string;
-  /** Names this instance in the record of what trial ran. */
+  /** The id written to the trial run record. */
   instanceId?: InstanceId;
-  /** Objects that peers have; asked when the store does not answer. */
+  /** Reads objects from peers; used when the store does not answer. */
   peers?: ConfigurationObjects;
   random?: Random;
-  /** How often the manifest is read besides the watch, in milliseconds. */
+  /** Interval at which the manifest is polled in addition to the watch, in milliseconds. */
   pollMs?: number;
-  /** How long one read may take, in milliseconds. */
+  /** Initial timeout of one read of the manifest, in milliseconds; grows while reads fail. */
   readTimeoutMs?: number;
-  /** How long a watch may say nothing before it is taken for dead, in milliseconds. */
+  /** How long a watch may go without a response before it is considered dead, in milliseconds. */
   watchTimeoutMs?: number;
-  /** How long to wait after a failure, in milliseconds. */
+  /** Delay after a failure, in milliseconds. */
   retryMs?: number;
   /**
-   * Whether an instance that just started may begin with a peer's version while the store is down.
-   * False holds the rule that an instance never acts on a lower version than in its former life.
+   * Whether an instance that has just started may use a peer's version while the store is down.
+   * With false, an instance never uses a lower version after a restart than it did before.
    */
   mayStartFromPeers?: boolean;
-  /** How long peers' versions are gathered before the highest is begun with, in milliseconds. */
+  /** How long to collect versions from peers before starting with the highest, in milliseconds. */
   peerSettleMs?: number;
 }
 
 const defaults = {
-  // Poll, one timeout, and a second read after it stay well below the 10 s that a change may take.
+  // One poll interval, one timed-out read and a second read together stay well below the 10 s within
+  // which a change must come into force.
   pollMs: 4 * millisecondsInSecond,
   readTimeoutMs: 2 * millisecondsInSecond,
   watchTimeoutMs: 25 * millisecondsInSecond,
@@ -78,39 +79,42 @@
   peerSettleMs: 3 * millisecondsInSecond,
 };
 
-/** The longest that one read of the manifest may come to take, in milliseconds. */
-const longestReadTimeoutMs = 12_000;
+/** Upper bound of the growing read timeout, in milliseconds. */
+const maxReadTimeoutMs = 12_000;
 
-/** The longest wait between two attempts to confirm the first read, in milliseconds. */
-const longestConfirmBackOffMs = 2_000;
+/** Upper bound of the back-off between two attempts to confirm the first read, in milliseconds. */
+const maxConfirmBackOffMs = 2_000;
 
 /**
- * Follows an environment's manifest, from the store and from peers.
+ * Follows an environment's manifest, in the store and through peers.
  *
- * - Versions only rise. A read that lags behind, from a cache or a healed partition, shows as a
- *   version no higher than the one in force and is dropped.
- * - A new version is loaded whole, only what changed is fetched, and it comes into force in one step
- *   or not at all; until then the old one stays in force.
- * - A watch whose connection fell silent for good never answers and never fails. Its time is
- *   bounded, and a slow poll that does not depend on it finds the change meanwhile.
+ * - Versions only increase. A stale read, from a cache or after a partition, returns a version that
+ *   is not higher than the one in force and is ignored.
+ * - Only the changed objects of a new version are fetched. It is put in force atomically once it is
+ *   complete; until then the old version stays in force.
+ * - A watch on a half-open connection neither returns nor fails. It therefore has a timeout, and an
+ *   independent, slower poll finds changes in the meantime.
  */
 export class ConfigurationWatcher implements AsyncDisposable {
-  /** What is in force; undefined until the first version was read. */
+  /** The configuration in force; undefined until the first version has been loaded. */
   readonly inForce = new StateStream<ConfigurationInForce | undefined>(undefined);
   readonly #options: ConfigurationWatcherOptions & typeof defaults;
   readonly #objects: ConfigurationObjects;
-  readonly #owned = new DisposableStore();
+  readonly #disposables = new DisposableStore();
   readonly #stop = new AbortController();
   #problem: ConfigurationProblem | undefined;
-  /** The highest version offered; loaded when it is higher than the one in force. */
-  #offered: Manifest | undefined;
-  #loading: Promise<void> | undefined;
-  #mayBegin = false;
+  /** The highest version seen so far, in the store or from peers. */
+  #highestOffered: Manifest | undefined;
+  #activeLoad: Promise<void> | undefined;
+  /** Whether versions may be loaded: after the first confirmed read, or after the start from peers. */
+  #isActivationAllowed = false;
+  /** Digest of the last document whose trial run has been recorded. */
   #recordedDigest: string | undefined;
-  /** What attempts that failed have read; emptied when a version comes into force. */
-  readonly #fetched = new Map<string, string>();
+  /** Object texts by digest, kept from failed loads; cleared after a successful load. */
+  readonly #fetchedTexts = new Map<string, string>();
   #readTimeoutMs: number;
-  #texts: { readonly digest: string; readonly byDigest: ReadonlyMap<string, string> } | undefined;
+  #textCache:
+    { readonly digest: string; readonly byDigest: ReadonlyMap<string, string> } | undefined;
 
   constructor(options: ConfigurationWatcherOptions) {
     this.#options = { ...defaults, ...options };
@@ -121,45 +125,46 @@
     this.#objects = new OrderedConfigurationObjects({ sources, clock });
   }
 
-  /** A version that is known of and could not be taken up; undefined when there is none. */
+  /** The current failure to read, load or record a version; undefined if there is none. */
   get problem(): ConfigurationProblem | undefined {
     return this.#problem;
   }
 
   /**
-   * Reads what is in force, then follows changes until disposed of.
+   * Loads the current configuration, then follows changes until disposed.
    *
-   * It returns after the first attempt, also when the store is down: the instance then has no
-   * configuration, takes no work, and goes on trying.
+   * Returns after the first attempt even if the store is down. The instance then has no
+   * configuration and accepts no requests, and the watcher keeps retrying.
    */
   async start(): Promise<void> {
-    await this.#begin().catch((error: unknown) => {
-      this.#note(undefined, error);
+    await this.#startFromConfirmedRead().catch((error: unknown) => {
+      this.#recordProblem(undefined, error);
     });
-    // Neither is waited for at the end: a watch that fell silent would hold up a planned stop.
-    void this.#followWatch();
-    void this.#poll();
+    // Disposal does not await these loops: a watch without a response would delay a planned stop.
+    void this.#runWatchLoop();
+    void this.#runPollLoop();
   }
 
   /**
-   * Reads the manifest once, and takes up what is new.
+   * Reads the manifest once and loads its version if it is newer than the one in force.
    *
-   * @throws RouterError `storeUnavailable` or `badDocument`
+   * @throws RouterError `storeUnavailable`, `badDocument`, or as {@link loadConfiguration}
    */
   async refresh(): Promise<void> {
-    if (!this.#mayBegin) {
-      await this.#begin();
+    if (!this.#isActivationAllowed) {
+      await this.#startFromConfirmedRead();
       return;
     }
     const stored = await this.#read();
-    if (stored !== undefined) await this.#take(parseManifest(stored.value));
+    if (stored !== undefined) await this.#loadIfNewer(parseManifest(stored.value));
   }
 
   /**
-   * Takes up what a peer has, when it is newer than what is in force here.
+   * Loads the version of a peer's manifest if it is newer than the one in force here. Errors are
+   * not thrown but recorded in {@link problem}.
    *
-   * @param value - the peer's `inForce.manifest`, as it came over the link
-   * @returns whether it came into force; false also when it is held until the first read
+   * @param value - the peer's `inForce.manifest`, as received
+   * @returns whether that version is now in force; false if it is kept until the first confirmed read
    *
    * @example
    * await watcher.offer(reply.manifest);
@@ -168,33 +173,34 @@
     try {
       const manifest = parseManifest(value);
       if (!this.#isNewer(manifest)) return false;
-      if (!this.#mayBegin && this.#offered === undefined) this.#scheduleBeginFromPeers();
-      await this.#take(manifest);
+      if (!this.#isActivationAllowed && this.#highestOffered === undefined)
+        this.#scheduleStartFromPeers();
+      await this.#loadIfNewer(manifest);
       return this.inForce.value?.version === manifest.version;
     } catch (error) {
-      this.#note(undefined, error);
+      this.#recordProblem(undefined, error);
       return false;
     }
   }
 
   /**
-   * The text of an object of the version in force, for peers that cannot reach the store.
+   * Returns the text of an object of the version in force, for peers that cannot reach the store.
    *
-   * @returns undefined when this instance does not have it
+   * @returns the text; undefined if the version in force does not contain the object
    */
   objectText(digest: string): string | undefined {
     const { value } = this.inForce;
     if (value === undefined) return undefined;
-    if (this.#texts?.digest !== value.digest) {
-      this.#texts = { digest: value.digest, byDigest: textsOf(value.compiled) };
+    if (this.#textCache?.digest !== value.digest) {
+      this.#textCache = { digest: value.digest, byDigest: collectTexts(value.compiled) };
     }
-    return this.#texts.byDigest.get(digest);
+    return this.#textCache.byDigest.get(digest);
   }
 
   /**
-   * What is in force.
+   * Returns the configuration in force.
    *
-   * @throws RouterError `storeUnavailable` before the first configuration was read
+   * @throws RouterError `storeUnavailable` if no configuration has been loaded yet
    */
   current(): ConfigurationInForce {
     const current = this.inForce.value;
@@ -204,18 +210,18 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    await this.#owned.dispose();
+    await this.#disposables.dispose();
   }
 
   /**
-   * The first read of this life, which must not lag.
+   * Performs the first read after start-up, which must not be stale, and loads its version.
    *
-   * An instance that restarts does not remember what it acted on. A read answered from a cache would
-   * take it back to a lower version. So the manifest that was read is written back as it is, on the
-   * condition that nobody has written since: the store answers a conditional write from what is
-   * true, so only a read that was up to date passes.
+   * After a restart, an instance does not know which version it used before, and a stale read from a
+   * cache would take it back to a lower one. The manifest is therefore written back unchanged with a
+   * compare-and-swap. The store checks the condition against its current state, so the write
+   * succeeds only if the read was up to date.
    */
-  async #begin(): Promise<void> {
+  async #startFromConfirmedRead(): Promise<void> {
     const { store, clock, environment, random = Math.random } = this.#options;
     let backOffMs = 50;
     while (!this.#stop.signal.aborted) {
@@ -226,42 +232,42 @@
       const key = manifestKey(environment);
       const result = await withTimeout(
         clock,
-        longestReadTimeoutMs,
+        maxReadTimeoutMs,
         () => store.write(key, stored.value, condition),
         { kind: 'storeUnavailable', what: 'confirming the manifest' },
       );
       if (result.outcome === 'written') {
-        this.#mayBegin = true;
-        await this.#take(manifest);
+        this.#isActivationAllowed = true;
+        await this.#loadIfNewer(manifest);
         return;
       }
       await clock.sleep(random() * backOffMs, this.#stop.signal);
-      backOffMs = Math.min(longestConfirmBackOffMs, backOffMs * 2);
+      backOffMs = Math.min(maxConfirmBackOffMs, backOffMs * 2);
     }
   }
 
-  /** Several peers may answer, some of them behind: the highest within a while is begun with. */
-  #scheduleBeginFromPeers(): void {
+  /** Waits before starting from peers, because some may lag: the highest version received is used. */
+  #scheduleStartFromPeers(): void {
     const { clock, mayStartFromPeers = false, peerSettleMs } = this.#options;
     if (!mayStartFromPeers) return;
     const timer = clock.schedule(peerSettleMs, () => {
-      this.#mayBegin = true;
-      if (this.#offered !== undefined) void this.offer(this.#offered);
+      this.#isActivationAllowed = true;
+      if (this.#highestOffered !== undefined) void this.offer(this.#highestOffered);
     });
-    this.#owned.add(timer);
+    this.#disposables.add(timer);
   }
 
-  /** A store that is slow, not down, would fail for ever by a fixed bound: it grows while it fails. */
+  /** The timeout doubles with each failure: a fixed one would never let a slow store succeed. */
   async #read(): Promise<StoredObject | undefined> {
     const { store, clock, environment, readTimeoutMs } = this.#options;
-    const limit = { kind: 'storeUnavailable', what: 'reading the manifest' } as const;
+    const timeoutOptions = { kind: 'storeUnavailable', what: 'reading the manifest' } as const;
     const read = () => store.read(manifestKey(environment));
     try {
-      const stored = await withTimeout(clock, this.#readTimeoutMs, read, limit);
+      const stored = await withTimeout(clock, this.#readTimeoutMs, read, timeoutOptions);
       this.#readTimeoutMs = readTimeoutMs;
       return stored;
     } catch (error) {
-      this.#readTimeoutMs = Math.min(longestReadTimeoutMs, 2 * this.#readTimeoutMs);
+      this.#readTimeoutMs = Math.min(maxReadTimeoutMs, 2 * this.#readTimeoutMs);
       throw error;
     }
   }
@@ -271,36 +277,39 @@
     if (manifest.environment !== environment) {
       throw new RouterError(
         'badDocument',
-        `a manifest of ${manifest.environment} was offered to ${environment}`,
+        `received a manifest of environment ${manifest.environment} instead of ${environment}`,
       );
     }
     return manifest.version > (this.inForce.value?.version ?? 0);
   }
 
-  /** Loads the highest version offered; one load at a time, whoever offers. */
-  async #take(manifest: Manifest): Promise<void> {
+  /** Remembers a newer manifest and loads the highest version; loads never run concurrently. */
+  async #loadIfNewer(manifest: Manifest): Promise<void> {
     if (!this.#isNewer(manifest)) return;
-    if (manifest.version > (this.#offered?.version ?? 0)) this.#offered = manifest;
-    if (!this.#mayBegin) return;
-    this.#loading ??= this.#loadOffered().finally(() => {
-      this.#loading = undefined;
+    if (manifest.version > (this.#highestOffered?.version ?? 0)) this.#highestOffered = manifest;
+    if (!this.#isActivationAllowed) return;
+    this.#activeLoad ??= this.#loadOffered().finally(() => {
+      this.#activeLoad = undefined;
     });
-    await this.#loading;
+    await this.#activeLoad;
   }
 
   async #loadOffered(): Promise<void> {
     while (!this.#stop.signal.aborted) {
-      const manifest = this.#offered;
+      const manifest = this.#highestOffered;
       if (manifest === undefined || !this.#isNewer(manifest)) return;
       try {
         const known = this.inForce.value?.compiled;
-        const fetched = this.#fetched;
-        const compiled = await loadConfiguration(this.#objects, manifest.root, { known, fetched });
-        this.#fetched.clear();
+        const fetchedTexts = this.#fetchedTexts;
+        const compiled = await loadConfiguration(this.#objects, manifest.root, {
+          known,
+          fetchedTexts,
+        });
+        this.#fetchedTexts.clear();
         this.#putInForce(manifest, compiled);
       } catch (error) {
-        // A higher version may have been offered meanwhile, and its objects be there.
-        if (this.#offered === manifest) throw error;
+        // A higher version may have arrived in the meantime; try to load that one.
+        if (this.#highestOffered === manifest) throw error;
       }
     }
   }
@@ -315,7 +324,7 @@
     void this.#recordTrialRun();
   }
 
-  /** Promotion to production asks whether an instance of trial acted on the bytes. */
+  /** Records that this trial instance uses the document, which promotion to production requires. */
   async #recordTrialRun(): Promise<void> {
     const { store, clock, environment, instanceId } = this.#options;
     const { value } = this.inForce;
@@ -330,62 +339,62 @@
       await recordTrialRun(store, environment, value.digest, run);
       this.#recordedDigest = value.digest;
     } catch (error) {
-      this.#note(value.version, error);
+      this.#recordProblem(value.version, error);
     }
   }
 
-  #note(version: number | undefined, thrown: unknown): void {
+  #recordProblem(version: number | undefined, thrown: unknown): void {
     const { message } = describeError(thrown);
     if (this.#problem?.message === message && this.#problem.version === version) return;
     this.#problem = { version, message, sinceMs: this.#options.clock.wallMs() };
   }
 
-  async #poll(): Promise<void> {
+  async #runPollLoop(): Promise<void> {
     const { clock, pollMs, retryMs } = this.#options;
     let waitMs = pollMs;
     while (!this.#stop.signal.aborted) {
       await clock.sleep(waitMs, this.#stop.signal);
       if (this.#stop.signal.aborted) return;
-      waitMs = (await this.#tryAgain()) ? pollMs : retryMs;
+      waitMs = (await this.#refreshOrLoadOffered()) ? pollMs : retryMs;
     }
   }
 
-  async #tryAgain(): Promise<boolean> {
-    let isRead = true;
+  async #refreshOrLoadOffered(): Promise<boolean> {
+    let isRefreshed = true;
     try {
       await this.refresh();
       if (this.#problem?.version === undefined) this.#problem = undefined;
     } catch (error) {
-      isRead = false;
-      this.#note(this.#offered?.version, error);
+      isRefreshed = false;
+      this.#recordProblem(this.#highestOffered?.version, error);
     }
-    // The store may be down and a peer have what an earlier attempt lacked.
-    const offered = this.#offered;
-    if (!isRead && offered !== undefined) {
-      await this.#take(offered).catch((error: unknown) => {
-        this.#note(offered.version, error);
+    // The store may be down while a peer can supply the objects that the last load could not get.
+    const offered = this.#highestOffered;
+    if (!isRefreshed && offered !== undefined) {
+      await this.#loadIfNewer(offered).catch((error: unknown) => {
+        this.#recordProblem(offered.version, error);
       });
     }
     await this.#recordTrialRun();
-    return isRead;
+    return isRefreshed;
   }
 
-  async #followWatch(): Promise<void> {
+  async #runWatchLoop(): Promise<void> {
     const { clock, retryMs } = this.#options;
     let revision = 0;
     while (!this.#stop.signal.aborted) {
       try {
         const startedMs = clock.monotonicMs();
         const seen = await this.#watchOnce(revision);
-        // A store that answers a watch at once and without news would be asked again without end:
-        // it shows as a process that is busy and does nothing else. A watch that waited is not slowed.
-        const isIdle = seen === revision && clock.monotonicMs() - startedMs < retryMs;
-        if (isIdle) await clock.sleep(retryMs, this.#stop.signal);
+        // A store that returns from a watch immediately and without changes would cause a busy loop
+        // that occupies the process. A watch that did wait is restarted without a delay.
+        const isImmediateAndEmpty = seen === revision && clock.monotonicMs() - startedMs < retryMs;
+        if (isImmediateAndEmpty) await clock.sleep(retryMs, this.#stop.signal);
         revision = seen;
       } catch (error) {
-        // Changes that the store dropped are not to be had: begin with all that is there.
+        // The store no longer has the changes since that revision: start from the current state.
         if (describeError(error).kind === 'historyGone') revision = 0;
-        this.#note(this.#offered?.version, error);
+        this.#recordProblem(this.#highestOffered?.version, error);
         await clock.sleep(retryMs, this.#stop.signal);
       }
     }
@@ -399,16 +408,16 @@
       (signal) => store.watch(manifestKey(environment), sinceRevision, signal),
       { kind: 'storeUnavailable', what: 'watching the manifest', signal: this.#stop.signal },
     );
-    // Until the first read is confirmed, a change only says that it is time to read.
-    if (!this.#mayBegin && changes.length > 0) await this.refresh();
+    // Until the first read is confirmed, a change only triggers a read.
+    if (!this.#isActivationAllowed && changes.length > 0) await this.refresh();
     for (const change of changes) {
-      if (change.object !== undefined) await this.#take(parseManifest(change.object.value));
+      if (change.object !== undefined) await this.#loadIfNewer(parseManifest(change.object.value));
     }
     return revision;
   }
 }
 
-function textsOf(compiled: CompiledEnvironment): Map<string, string> {
+function collectTexts(compiled: CompiledEnvironment): Map<string, string> {
   const texts = new Map([[compiled.root.settings, compiled.settingsText]]);
   for (const tree of [compiled.accounts, compiled.keys]) {
     for (const node of nodesOf(tree)) texts.set(node.digest, node.text);
--- a/packages/operators/src/EnvironmentIndex/index.ts
+++ b/packages/operators/src/EnvironmentIndex/index.ts
@@ -22,24 +22,24 @@
 } from '../environmentSchema/index.js';
 import type { EnvironmentSettings } from '../types.js';
 
-/** A budget, with the account that it belongs to. */
+/** A budget and its account. */
 export interface BudgetEntry {
   readonly accountId: AccountId;
   readonly budgetId: BudgetId;
   readonly openingTokens: number;
 }
 
-/** A class, with its place in the order of priority; 0 matters most. */
+/** A class and its priority; 0 is the highest. */
 export interface ClassEntry extends ClassDocument {
   readonly priority: number;
 }
 
 /**
- * An accepted document, ready to be asked on the request path.
+ * Lookups in an accepted document, for the request path.
  *
- * Accounts and budgets stay in the trees that they were loaded as: a lookup goes down a path whose
- * length is bounded, whatever the number of budgets, and a new version shares with the one before
- * all that did not change. So a change costs nothing like 580,000 budgets to index.
+ * Accounts and budgets stay in the trees in which they were loaded. A lookup descends a path of
+ * bounded length regardless of the number of budgets, and a new version shares all unchanged nodes
+ * with the previous one, so a change does not require all 580,000 budgets to be indexed again.
  */
 export class EnvironmentIndex {
   readonly settings: EnvironmentSettings;
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Indexes a document that was not accepted, for checks and tests.
+   * Indexes a document that has not been accepted, for validation and tests.
    *
    * @example
    * EnvironmentIndex.fromDocument(parseEnvironment(text)).classOf(undefined).name;
@@ -71,12 +71,12 @@
   }
 
   /**
-   * The account that a key belongs to.
+   * Finds the account that a key belongs to.
    *
-   * The key is digested first and the digest looked up, so that the time taken says nothing of how
-   * much of a guessed key was right.
+   * The lookup uses the digest of the key, so that its duration does not reveal how much of a guessed
+   * key is correct (timing attack).
    *
-   * @throws RouterError `unauthenticated`
+   * @throws RouterError `unauthenticated` if the key is unknown or undefined
    */
   accountOfKey(key: string | undefined): AccountId {
     const digest = key === undefined ? '' : digestText(key);
@@ -86,9 +86,9 @@
   }
 
   /**
-   * A budget of an account.
+   * Finds a budget of an account.
    *
-   * @throws RouterError `notFound`, also when the budget is another account's
+   * @throws RouterError `notFound`, also if the budget belongs to another account
    */
   budgetOf(accountId: AccountId, budgetId: string): BudgetEntry {
     const leaf = findLeaf(this.#accounts, budgetPath(accountId, budgetId));
@@ -99,14 +99,18 @@
     throw new RouterError('notFound', `the account has no budget ${budgetId}`);
   }
 
-  /** @throws RouterError `notFound` */
+  /**
+   * Finds the service that provides a model.
+   *
+   * @throws RouterError `notFound` if there is none
+   */
   engineServiceOf(model: string): EngineServiceDocument {
     const service = this.#engines.get(model);
     if (service !== undefined) return service;
     throw new RouterError('notFound', `no service has the model ${model}`);
   }
 
-  /** @throws RouterError `notFound` */
+  /** @throws RouterError `notFound` if there is no plain service of this name */
   plainServiceOf(name: string): PlainServiceDocument {
     const service = this.#plain.get(name);
     if (service !== undefined) return service;
@@ -114,9 +118,9 @@
   }
 
   /**
-   * A class by name; the last in order of priority when the caller names none.
+   * Finds a class by name; the class with the lowest priority if no name is given.
    *
-   * @throws RouterError `notFound`
+   * @throws RouterError `notFound` if there is no class of this name
    */
   classOf(name: ClassName | undefined): ClassEntry {
     const last = this.settings.classes.at(-1)?.name;
@@ -125,13 +129,13 @@
     throw new RouterError('notFound', `there is no class ${name ?? '(none)'}`);
   }
 
-  /** What a policy avoids first for an account: its own choice, or the environment's. */
+  /** The `weighs` setting of an account, or that of the environment if the account has none. */
   weighsOf(accountId: AccountId): EnvironmentSettings['weighs'] {
     const leaf = findLeaf(this.#accounts, accountPath(accountId));
     return leaf?.accounts.get(accountId)?.head?.weighs ?? this.settings.weighs;
   }
 
-  /** All budgets, one after the other; for operators, not for the request path. */
+  /** Yields all budgets. Reads the whole tree: for operator commands, not for the request path. */
   *budgets(): Generator<BudgetEntry> {
     for (const leaf of leavesOf(this.#accounts)) {
       for (const [accountId, { budgets }] of leaf.accounts) {
--- a/packages/operators/src/EnvironmentIndex/test.ts
+++ b/packages/operators/src/EnvironmentIndex/test.ts
@@ -8,14 +8,14 @@
 import { loadConfiguration } from '../loadConfiguration/index.js';
 import { EnvironmentIndex } from './index.js';
 
-const common = {
+const baseDocument = {
   environment: 'kapiti',
   weighs: 'overspend' as const,
   classes: [{ name: 'review', firstTokenDeadlineMs: 1_000, totalDeadlineMs: 2_000 }],
   services: [{ name: 'tutor', kind: 'engines', models: ['small'], checksFencing: true }],
 } as unknown as Omit<EnvironmentDocument, 'accounts'>;
 
-// Names that a plain object would take for its own, or put in another order.
+// Includes names that a plain object inherits from its prototype, or that it would reorder.
 const id = fc.oneof(
   fc.stringMatching(/^[A-Za-z0-9][A-Za-z0-9._-]{0,12}$/),
   fc.constantFrom('constructor', 'toString', 'hasOwnProperty', '7', '07', '2026'),
@@ -29,8 +29,8 @@
   { maxLength: 12, selector: (account) => account.id },
 );
 
-function documentOf(
-  drawn: readonly {
+function toDocument(
+  generated: readonly {
     id: string;
     weighs: 'falseRefusals' | undefined;
     budgets: { id: string; openingTokens: number }[];
@@ -38,8 +38,8 @@
 ): EnvironmentDocument {
   const seen = new Set<string>();
   return {
-    ...common,
-    accounts: drawn.map((account) => ({
+    ...baseDocument,
+    accounts: generated.map((account) => ({
       ...account,
       keyDigests: [digestText(`key of ${account.id}`)],
       budgets: account.budgets.filter((budget) => {
@@ -51,10 +51,10 @@
   };
 }
 
-test('an index that was compiled, stored and loaded answers as the document says', async (t) => {
+test('an index of a compiled and reloaded document returns the values of the document', async (t) => {
   await fc.assert(
-    fc.asyncProperty(accounts, async (drawn) => {
-      const document = documentOf(drawn);
+    fc.asyncProperty(accounts, async (generated) => {
+      const document = toDocument(generated);
       const compiled = compileEnvironment(document);
       const texts = new Map([...objectsOf(compiled)].map(({ digest, text }) => [digest, text]));
       const loaded = await loadConfiguration(new MemoryConfigurationObjects(texts), compiled.root);
@@ -76,26 +76,26 @@
   );
 });
 
-test('the order of accounts and budgets makes no other objects', (t) => {
+test('the order of accounts and budgets does not affect the compiled objects', (t) => {
   fc.assert(
-    fc.property(accounts, (drawn) => {
-      const document = documentOf(drawn);
-      const turned = {
+    fc.property(accounts, (generated) => {
+      const document = toDocument(generated);
+      const reversed = {
         ...document,
         accounts: document.accounts
           .map((account) => ({ ...account, budgets: account.budgets.toReversed() }))
           .toReversed(),
       };
-      t.deepEqual(compileEnvironment(turned).root, compileEnvironment(document).root);
+      t.deepEqual(compileEnvironment(reversed).root, compileEnvironment(document).root);
     }),
     { seed: 2, numRuns: 60 },
   );
 });
 
-test('a large account is split over many objects of bounded size', (t) => {
+test('a large account is split into many objects of limited size', (t) => {
   const budgets = Array.from({ length: 20_000 }, (_, at) => ({ id: `b${at}`, openingTokens: at }));
   const account = { id: 'large', keyDigests: [digestText('k')], budgets };
-  const compiled = compileEnvironment({ ...common, accounts: [account] });
+  const compiled = compileEnvironment({ ...baseDocument, accounts: [account] });
   const sizes = [...objectsOf(compiled)].map(({ text }) => text.length);
   t.true(Math.max(...sizes) < 1.1 * maxLeafBytes, `${Math.max(...sizes)} bytes`);
   t.is([...new EnvironmentIndex(compiled).budgets()].length, 20_000);
--- a/packages/operators/src/_lib/describeIssue/index.ts
+++ b/packages/operators/src/_lib/describeIssue/index.ts
@@ -1,5 +1,5 @@
 /**
- * Turns what the schema library says into what is wrong and what to write instead.
+ * Converts issues reported by the schema library into faults with a description and a correction.
  */
 import type { z } from 'zod';
 import { environmentSchema } from '../../environmentSchema/index.js';
@@ -7,12 +7,12 @@
 import { fieldsAt } from '../fieldsAt/index.js';
 import { nearestName } from '../nearestName/index.js';
 
-/** What to write at each field. */
+/** The valid values of each field, for messages. */
 const remedies: Readonly<Record<string, string>> = {
   environment: 'the name of the environment, for example kapiti',
-  basedOnVersion: 'the production version that acaciacrankctl status names, for example 7',
+  basedOnVersion: 'the production version that acaciacrankctl status shows, for example 7',
   weighs: 'overspend or falseRefusals',
-  classes: 'a list of classes, the one that matters most first',
+  classes: 'a list of classes, highest priority first',
   services: 'a list of services, each with a name and a kind',
   accounts: 'a list of client accounts',
   budgets: 'a list of budgets, each { id: NAME, openingTokens: NUMBER }',
@@ -26,16 +26,16 @@
   models: 'a list of model names',
   minBytesPerToken: 'a number above 0, for example 1',
   maxOutputTokens: 'a whole number of tokens above 0',
-  checksFencing: 'true or false: whether the engines refuse an old fencing number',
+  checksFencing: 'true or false: whether the engines reject an outdated fencing number',
   repeatableMethods: 'a list of methods, for example [GET, HEAD]',
   repeatableCalls: 'a list of { method: POST, path: /a/*/b }',
   method: 'GET, HEAD, PUT, DELETE, POST or PATCH',
-  path: 'a path such as /shelters/*/availability; ** may stand at its end only',
+  path: 'a path such as /shelters/*/availability; ** is allowed at the end only',
   tokensPerCall: 'a whole number of tokens, 0 or more',
 };
 
-/** What the schema library's names of kinds are called in a message. */
-const kindNames: Readonly<Record<string, string>> = {
+/** Names for messages of the schema library's types. */
+const typeNames: Readonly<Record<string, string>> = {
   int: 'a whole number',
   number: 'a number',
   string: 'a text',
@@ -45,42 +45,48 @@
 };
 
 /**
- * Describes one issue.
+ * Converts one issue.
  *
- * @param issue - what the schema library found
- * @param value - the document
- * @returns one fault; one a field when fields are unknown
+ * @param issue - an issue reported by the schema library
+ * @param value - the whole document
+ * @returns one fault, or one fault per unknown field
  */
 export function describeIssue(issue: z.core.$ZodIssue, value: unknown): DocumentFault[] {
   const { path } = issue;
   if (issue.code === 'unrecognized_keys') {
     const known = fieldsAt(environmentSchema, path, value);
-    return issue.keys.map((key) => unknownField(path, key, known));
+    return issue.keys.map((key) => unknownFieldFault(path, key, known));
   }
   return [
-    { path, isKey: false, message: `${wrong(issue, valueAt(value, path))}: ${remedy(path)}` },
+    {
+      path,
+      isKey: false,
+      message: `${describeProblem(issue, valueAt(value, path))}: ${remedy(path)}`,
+    },
   ];
 }
 
-function unknownField(
+function unknownFieldFault(
   path: readonly PropertyKey[],
   key: string,
   known: readonly string[],
 ): DocumentFault {
-  const near = nearestName(key, known);
+  const suggestion = nearestName(key, known);
   const advice =
-    near === undefined ? `take it out; known here: ${known.join(', ')}` : `write ${near}`;
+    suggestion === undefined
+      ? `take it out; known here: ${known.join(', ')}`
+      : `write ${suggestion}`;
   return { path: [...path, key], isKey: true, message: `there is no field ${key}: ${advice}` };
 }
 
-function wrong(issue: z.core.$ZodIssue, value: unknown): string {
+function describeProblem(issue: z.core.$ZodIssue, value: unknown): string {
   if (value === undefined) return 'is missing';
   if (value === null) return 'is empty';
   if (issue.code === 'invalid_type')
-    return `is ${kindOf(value)} and should be ${kindNames[issue.expected] ?? issue.expected}`;
+    return `is ${describeTypedValue(value)} and should be ${typeNames[issue.expected] ?? issue.expected}`;
   if (issue.code === 'too_small' || issue.code === 'too_big')
-    return `${shown(value)} is out of range`;
-  return `${shown(value)} is not right`;
+    return `${formatValue(value)} is out of range`;
+  return `${formatValue(value)} is not right`;
 }
 
 function remedy(path: readonly PropertyKey[]): string {
@@ -88,12 +94,12 @@
   return `write ${remedies[String(field)] ?? 'a map of environment, classes, services and accounts'}`;
 }
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   if (Array.isArray(value)) return `a list of ${value.length}`;
   return typeof value === 'object' ? 'this map' : JSON.stringify(value);
 }
 
-function kindOf(value: unknown): string {
+function describeTypedValue(value: unknown): string {
   if (Array.isArray(value)) return 'a list';
   if (typeof value === 'object') return 'a map';
   if (typeof value === 'string') return `the text ${JSON.stringify(value)}`;
--- a/packages/operators/src/_lib/fieldsAt/index.ts
+++ b/packages/operators/src/_lib/fieldsAt/index.ts
@@ -1,27 +1,27 @@
 import { z } from 'zod';
 
 /**
- * The fields that a schema knows at a place of a document.
+ * Lists the fields that a schema allows at a path of a document.
  *
  * @param schema - the document's schema
- * @param path - the place
- * @param value - the document, which decides between the options of a union
- * @returns the names of the fields; empty when the place is no map
+ * @param path - the path
+ * @param value - the document, which selects between the options of a union
+ * @returns the names of the fields; empty if the value at the path is not a map
  */
 export function fieldsAt(
   schema: z.core.$ZodType,
   path: readonly PropertyKey[],
   value: unknown,
 ): string[] {
-  const inner = unwrap(schema, value);
-  if (inner instanceof z.ZodObject) {
+  const unwrapped = unwrap(schema, value);
+  if (unwrapped instanceof z.ZodObject) {
     const [step, ...rest] = path;
-    if (step === undefined) return Object.keys(inner.shape);
-    const field = inner.shape[String(step)] as z.core.$ZodType | undefined;
+    if (step === undefined) return Object.keys(unwrapped.shape);
+    const field = unwrapped.shape[String(step)] as z.core.$ZodType | undefined;
     return field === undefined ? [] : fieldsAt(field, rest, valueAt(value, step));
   }
-  if (inner instanceof z.ZodArray && path[0] !== undefined) {
-    return fieldsAt(inner.element, path.slice(1), valueAt(value, path[0]));
+  if (unwrapped instanceof z.ZodArray && path[0] !== undefined) {
+    return fieldsAt(unwrapped.element, path.slice(1), valueAt(value, path[0]));
   }
   return [];
 }
@@ -32,11 +32,11 @@
   }
   if (!(schema instanceof z.ZodDiscriminatedUnion)) return schema;
   const { discriminator } = schema.def;
-  const fits = schema.options.find((option) => {
+  const matchingOption = schema.options.find((option) => {
     const field = (option as z.ZodObject).shape[discriminator];
     return field !== undefined && z.safeParse(field, valueAt(value, discriminator)).success;
   });
-  return fits ?? schema;
+  return matchingOption ?? schema;
 }
 
 function valueAt(value: unknown, step: PropertyKey): unknown {
--- a/packages/operators/src/_lib/nearestName/index.ts
+++ b/packages/operators/src/_lib/nearestName/index.ts
@@ -1,29 +1,32 @@
 /**
- * The name that a mistyped one was probably meant to be.
+ * Finds the valid name that a mistyped one was probably meant to be.
  *
- * @param wrong - what was written
- * @param names - what may be written
- * @returns the nearest name; undefined when none is near
+ * @param mistyped - the name as written
+ * @param names - the valid names
+ * @returns the name with the smallest edit distance; undefined if none is close enough
  */
-export function nearestName(wrong: string, names: readonly string[]): string | undefined {
-  const scored = names.map((name) => ({ name, edits: editDistance(lower(wrong), lower(name)) }));
+export function nearestName(mistyped: string, names: readonly string[]): string | undefined {
+  const scored = names.map((name) => ({
+    name,
+    edits: editDistance(normalizeName(mistyped), normalizeName(name)),
+  }));
   const [best] = scored.sort((a, b) => a.edits - b.edits);
-  const mostEdits = Math.max(2, Math.floor(wrong.length / 3));
-  return best !== undefined && best.edits <= mostEdits ? best.name : undefined;
+  const maxEdits = Math.max(2, Math.floor(mistyped.length / 3));
+  return best !== undefined && best.edits <= maxEdits ? best.name : undefined;
 }
 
-function lower(name: string): string {
+function normalizeName(name: string): string {
   return name.toLowerCase().replaceAll(/[-_]/g, '');
 }
 
-/** How many letters must be put in, taken out or replaced. */
+/** The Levenshtein distance: number of characters to insert, delete or replace. */
 function editDistance(from: string, to: string): number {
   let row = Array.from({ length: to.length + 1 }, (_, index) => index);
   for (let at = 1; at <= from.length; at += 1) {
     const next = [at];
-    for (let other = 1; other <= to.length; other += 1) {
-      const replaced = (row[other - 1] ?? 0) + (from[at - 1] === to[other - 1] ? 0 : 1);
-      next.push(Math.min(replaced, (row[other] ?? 0) + 1, (next[other - 1] ?? 0) + 1));
+    for (let column = 1; column <= to.length; column += 1) {
+      const substitution = (row[column - 1] ?? 0) + (from[at - 1] === to[column - 1] ? 0 : 1);
+      next.push(Math.min(substitution, (row[column] ?? 0) + 1, (next[column - 1] ?? 0) + 1));
     }
     row = next;
   }
--- a/packages/operators/src/_lib/writeObjects/index.ts
+++ b/packages/operators/src/_lib/writeObjects/index.ts
@@ -11,19 +11,20 @@
   readonly text: string;
 }
 
-const maxWritesAtOnce = 16;
+const maxConcurrentWrites = 16;
 
 /**
- * The objects of a document that the version in force does not have.
+ * Finds the objects of a document that are not part of the version in force.
  *
- * An object that only an older version has is written again: the collection of garbage may be about
- * to remove it, and leaves alone what was written lately.
+ * An object that is part of an older version only is included and thus written again: the garbage
+ * collector may be about to remove it, but never removes an object that was written recently.
  *
- * @param compiled - the document
- * @param inForce - where the version in force begins
- * @param source - reads the objects of the version in force
+ * @param compiled - the compiled document
+ * @param inForce - digests of the root objects of the version in force; undefined if there is none
+ * @param source - source of the objects of the version in force
+ * @returns the objects to write
  */
-export async function missingObjects(
+export async function findMissingObjects(
   compiled: CompiledEnvironment,
   inForce: ConfigurationRoot | undefined,
   source: ConfigurationObjects,
@@ -39,25 +40,28 @@
 
 async function addMissing(
   node: TreeNode,
-  old: string | undefined,
+  currentDigest: string | undefined,
   source: ConfigurationObjects,
   missing: ObjectToWrite[],
 ): Promise<void> {
-  if (node.digest === old) return;
+  if (node.digest === currentDigest) return;
   missing.push({ digest: node.digest, text: node.text });
   if (node.kind === 'leaf') return;
-  const oldText = old === undefined ? undefined : await source.read(old);
-  const oldNode = old === undefined || oldText === undefined ? undefined : parseNode(old, oldText);
-  const oldChildren =
-    oldNode?.kind === 'branch' && oldNode.at === node.at ? oldNode.children : undefined;
+  const currentText = currentDigest === undefined ? undefined : await source.read(currentDigest);
+  const currentNode =
+    currentDigest === undefined || currentText === undefined
+      ? undefined
+      : parseNode(currentDigest, currentText);
+  const currentChildren =
+    currentNode?.kind === 'branch' && currentNode.at === node.at ? currentNode.children : undefined;
   for (const [digit, child] of node.children) {
-    await addMissing(child, oldChildren?.get(digit), source, missing);
+    await addMissing(child, currentChildren?.get(digit), source, missing);
   }
 }
 
 /**
- * Writes objects, some at once. Each has the digest of its text as its name, so writing one twice
- * changes nothing, and a crash half-way leaves objects that nothing refers to.
+ * Writes objects, with limited concurrency. The objects are content-addressed, so the write is
+ * idempotent, and a crash half-way leaves only unreferenced objects behind.
  *
  * @throws RouterError `storeUnavailable`
  */
@@ -67,11 +71,11 @@
   environment: string,
   objects: readonly ObjectToWrite[],
 ): Promise<void> {
-  for (let at = 0; at < objects.length; at += maxWritesAtOnce) {
+  for (let at = 0; at < objects.length; at += maxConcurrentWrites) {
     const writtenAtMs = clock.wallMs();
     await Promise.all(
       objects
-        .slice(at, at + maxWritesAtOnce)
+        .slice(at, at + maxConcurrentWrites)
         .map(({ digest, text }) =>
           store.write(objectKey(environment, digest), { writtenAtMs, text }, { kind: 'none' }),
         ),
--- a/packages/operators/src/acceptDocument/index.ts
+++ b/packages/operators/src/acceptDocument/index.ts
@@ -6,28 +6,30 @@
 import { StoreConfigurationObjects } from '../ConfigurationObjects/index.js';
 import { trialSuffix, type EnvironmentDocument } from '../environmentSchema/index.js';
 import { parseEnvironment } from '../parseEnvironment/index.js';
-import { missingObjects, writeObjects } from '../_lib/writeObjects/index.js';
+import { findMissingObjects, writeObjects } from '../_lib/writeObjects/index.js';
 
 /** Options of {@link acceptDocument}. */
 export interface AcceptDocumentOptions
   extends Pick<AcceptRootOptions, 'random' | 'maxAttempts'>, CompileEnvironmentOptions {
-  /** Where to accept it: the document's own environment, or its trial environment. */
+  /** The target environment: the document's own (default) or its trial environment. */
   environment?: string;
-  /** The version that the operator last saw; another one in force refuses the document. */
+  /** The version that the operator last saw; the document is refused if another one is in force. */
   expectedVersion?: number | undefined;
 }
 
 /**
- * Checks a document, writes its objects and puts it in force by one conditional update.
+ * Validates a document, writes its objects and puts it in force with one compare-and-swap of the
+ * manifest.
  *
- * Bytes that are already in force change nothing.
+ * A document that is already in force, byte for byte, changes nothing.
  *
- * @param store - the platform's store
- * @param clock - measures the back-off
- * @param text - the document
- * @param options - where, and what the operator last saw
- * @returns what came of it
- * @throws RouterError `badDocument`, `conflict` or `storeUnavailable`, as {@link acceptRoot}
+ * @param store - the platform's object store
+ * @param clock - used for timestamps and the back-off
+ * @param text - the document, as YAML
+ * @param options - target environment and expected version
+ * @returns the accepted version and the manifest now in force
+ * @throws RouterError `badDocument`, `conflict` or `storeUnavailable`, as {@link acceptRoot};
+ * `badRequest` if the document and the options expect different versions
  *
  * @example
  * const { accepted } = await acceptDocument(store, clock, text, { expectedVersion: 6 });
@@ -42,10 +44,10 @@
 }
 
 /**
- * Accepts a document that has been checked.
+ * Accepts a document that has already been parsed and validated.
  *
- * @param digest - SHA-256 of its text
- * @throws RouterError `conflict` or `storeUnavailable`
+ * @param digest - SHA-256 of the document's text
+ * @throws RouterError as {@link acceptDocument}
  */
 export async function acceptParsed(
   store: ObjectStore,
@@ -57,7 +59,7 @@
   const environment = options.environment ?? document.environment;
   const compiled = compileEnvironment(document, options);
   const source = new StoreConfigurationObjects(store, environment);
-  const expectedVersion = expectedVersionOf(document, environment, options.expectedVersion);
+  const expectedVersion = resolveExpectedVersion(document, environment, options.expectedVersion);
   const acceptance = await acceptRoot(
     store,
     clock,
@@ -65,7 +67,7 @@
     {
       ...options,
       prepare: async (inForce) => {
-        const missing = await missingObjects(compiled, inForce?.root, source);
+        const missing = await findMissingObjects(compiled, inForce?.root, source);
         await writeObjects(store, clock, environment, missing);
       },
     },
@@ -76,18 +78,22 @@
   return acceptance;
 }
 
-/** A document says which production version it was edited from; trial counts versions of its own. */
-function expectedVersionOf(
+/** `basedOnVersion` counts production versions; a trial environment has its own numbering. */
+function resolveExpectedVersion(
   { basedOnVersion }: EnvironmentDocument,
   environment: string,
-  expected: number | undefined,
+  requestedVersion: number | undefined,
 ): number | undefined {
-  if (environment.endsWith(trialSuffix)) return expected;
-  if (expected !== undefined && basedOnVersion !== undefined && expected !== basedOnVersion) {
+  if (environment.endsWith(trialSuffix)) return requestedVersion;
+  if (
+    requestedVersion !== undefined &&
+    basedOnVersion !== undefined &&
+    requestedVersion !== basedOnVersion
+  ) {
     throw new RouterError(
       'badRequest',
-      `the document says basedOnVersion: ${basedOnVersion}, and version ${expected} was asked for`,
+      `the document has basedOnVersion: ${basedOnVersion}, but the request expects version ${requestedVersion}`,
     );
   }
-  return expected ?? basedOnVersion;
+  return requestedVersion ?? basedOnVersion;
 }
--- a/packages/operators/src/acceptRoot/index.ts
+++ b/packages/operators/src/acceptRoot/index.ts
@@ -13,64 +13,65 @@
 } from '../manifest/index.js';
 import type { ConfigurationRoot } from '../types.js';
 
-/** What is to come into force. */
+/** A compiled document and the conditions for putting it in force. */
 export interface AcceptanceRequest {
   readonly environment: string;
   /** SHA-256 of the document's text. */
   readonly digest: string;
   readonly root: ConfigurationRoot;
-  /** The version that the change was made from; another one in force refuses it. */
+  /** The version that the change was made from; the request is refused if another one is in force. */
   readonly expectedVersion?: number | undefined;
-  /** The version that is rolled back to. */
+  /** The version whose content is restored, when this request is a rollback. */
   readonly rolledBackTo?: number | undefined;
 }
 
-/** What came of it. */
+/** The result of an acceptance. */
 export interface Acceptance {
-  /** `unchanged` when these bytes were in force already. */
+  /** `unchanged` if a document with the same digest was already in force. */
   readonly outcome: 'accepted' | 'unchanged';
-  /** The version that has these bytes. */
+  /** The version that contains the requested document. */
   readonly accepted: AcceptedVersion;
-  /** What is in force now; a later version when somebody else came after. */
+  /** The manifest now in force; its version is higher if another writer has followed. */
   readonly manifest: Manifest;
-  /** Whether the answer to the write was lost, and the outcome was found out by reading. */
+  /** Whether the response to the write was lost and the outcome was determined by a later read. */
   readonly isFoundOut: boolean;
 }
 
 /** Options of {@link acceptRoot}. */
 export interface AcceptRootOptions {
-  /** Spreads the back-off and names the acceptance. */
+  /** Used for back-off jitter and for the acceptance id. */
   random?: Random;
-  /** How often to read and try before giving up. */
+  /** Maximum number of read-and-write attempts. */
   maxAttempts?: number;
-  /** Writes the objects that the version in force lacks, before the manifest refers to them. */
+  /** Writes the objects that the version in force lacks; runs before the manifest is written. */
   prepare?: (inForce: Manifest | undefined) => Promise<void>;
 }
 
-const firstBackOffMs = 50;
-const longestBackOffMs = 2_000;
+const initialBackOffMs = 50;
+const maxBackOffMs = 2_000;
 
 /**
- * How long the objects may have been written when the manifest comes to refer to them, in
- * milliseconds; far less than what the collection of garbage waits.
+ * Maximum duration of `prepare`, in milliseconds. It is far below the garbage collector's grace
+ * period, so that no prepared object is removed before the manifest refers to it.
  */
-const maxPreparedMs = 600_000;
+const maxPrepareMs = 600_000;
 
 /**
- * Puts compiled objects in force by one conditional update of the manifest.
+ * Puts a compiled document in force with one compare-and-swap of the manifest.
  *
- * Whoever writes first wins; the other is told what the winner changed. The answer to the write can
- * be lost after it took effect, which shows as an error from the store: the manifest is then read
- * until it says whether this acceptance, which has a name of its own, is in it.
+ * The first of several concurrent writers succeeds; the others get a `conflict` error that lists
+ * what it changed. The response to the write can be lost after the write took effect, which shows
+ * as a store error. The manifest is then read again until it shows whether it contains this
+ * acceptance, which is identified by its unique acceptance id.
  *
- * @param store - the platform's store
- * @param clock - measures the back-off
- * @param request - what is to come into force
- * @param options - chance, bounds and what to write before
- * @returns what came of it
- * @throws RouterError `conflict` with what the winner changed, `badDocument` for a manifest that
- * this program cannot read, `storeUnavailable` whose claim `ran` is `unknown` when the manifest was
- * written without an answer and could not be read since
+ * @param store - the platform's object store
+ * @param clock - used for timestamps and the back-off
+ * @param request - the compiled document and the version it replaces
+ * @param options - source of randomness, attempt limit and preparation step
+ * @returns the accepted version and the manifest now in force
+ * @throws RouterError `conflict` with the concurrent changes; `badDocument` if this release cannot
+ * read the manifest; `storeUnavailable` if the store does not answer, with `ran: 'unknown'` if a
+ * manifest write was attempted and its outcome could not be read afterwards
  *
  * @example
  * const { accepted } = await acceptRoot(store, clock, { environment, digest, root });
@@ -82,13 +83,13 @@
   options: AcceptRootOptions = {},
 ): Promise<Acceptance> {
   const random = options.random ?? Math.random;
-  const acceptanceId = nameAcceptance(request, clock, random);
+  const acceptanceId = createAcceptanceId(request, clock, random);
   const maxAttempts = options.maxAttempts ?? 6;
   const key = manifestKey(request.environment);
   let expectedVersion = request.expectedVersion;
-  let isWritten = false;
+  let isWriteAttempted = false;
   let lastError: Error | undefined;
-  let backOffMs = firstBackOffMs;
+  let backOffMs = initialBackOffMs;
   for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
     try {
       const stored = await store.read(key);
@@ -102,10 +103,10 @@
         throw await conflict(store, request, inForce, expectedVersion);
       const startedMs = clock.monotonicMs();
       await options.prepare?.(inForce);
-      if (clock.monotonicMs() - startedMs > maxPreparedMs) continue;
+      if (clock.monotonicMs() - startedMs > maxPrepareMs) continue;
       const manifest = nextManifest(request, inForce, acceptanceId, clock);
-      isWritten = true;
-      const result = await store.write(key, manifest, conditionOf(stored));
+      isWriteAttempted = true;
+      const result = await store.write(key, manifest, toWriteCondition(stored));
       if (result.outcome === 'written') {
         const [accepted] = versionsOf(manifest) as [AcceptedVersion];
         return { outcome: 'accepted', accepted, manifest, isFoundOut: false };
@@ -115,15 +116,15 @@
       lastError = error;
     }
     await clock.sleep(random() * backOffMs);
-    backOffMs = Math.min(longestBackOffMs, backOffMs * 2);
+    backOffMs = Math.min(maxBackOffMs, backOffMs * 2);
   }
-  throw gaveUp(request, isWritten, lastError);
+  throw createUnavailableError(request, isWriteAttempted, lastError);
 }
 
-/** Two acceptances never share a name, nor do two of one moment whose chance is seeded alike. */
-function nameAcceptance({ digest }: AcceptanceRequest, clock: Clock, random: Random): string {
-  const chance = digestText(`${digest} ${random()} ${random()}`).slice(0, 20);
-  return `${clock.wallMs().toString(36)}-${chance}`;
+/** The digest makes ids of different documents differ even at the same time and with equal seeds. */
+function createAcceptanceId({ digest }: AcceptanceRequest, clock: Clock, random: Random): string {
+  const randomPart = digestText(`${digest} ${random()} ${random()}`).slice(0, 20);
+  return `${clock.wallMs().toString(36)}-${randomPart}`;
 }
 
 function unchanged(inForce: Manifest): Acceptance {
@@ -165,54 +166,55 @@
 ): Promise<RouterError> {
   const { environment } = request;
   const lines = [
-    `version ${inForce?.version ?? 0} of ${environment} is in force; your change was made from version ${expectedVersion}. Nothing of yours was put in force.`,
-    ...(await whatChanged(store, environment, inForce, expectedVersion)),
+    `version ${inForce?.version ?? 0} of ${environment} is in force; your change was made from version ${expectedVersion}. Your change was not put in force.`,
+    ...(await describeChangesSince(store, environment, inForce, expectedVersion)),
   ];
   return new RouterError('conflict', lines.join('\n'));
 }
 
-async function whatChanged(
+async function describeChangesSince(
   store: ObjectStore,
   environment: string,
   inForce: Manifest | undefined,
-  since: number,
+  sinceVersion: number,
 ): Promise<string[]> {
   const versions = inForce === undefined ? [] : versionsOf(inForce);
-  const base = versions.find(({ version }) => version === since);
-  const unknown = `What changed since version ${since} is not known: only the last ${maxPreviousVersions} versions are kept.`;
-  if (inForce === undefined || (base === undefined && since !== 0)) return [unknown];
+  const baseVersion = versions.find(({ version }) => version === sinceVersion);
+  const unknown = `The changes since version ${sinceVersion} are unknown: only the last ${maxPreviousVersions} versions are kept.`;
+  if (inForce === undefined || (baseVersion === undefined && sinceVersion !== 0)) return [unknown];
   const source = new StoreConfigurationObjects(store, environment);
   try {
-    const changes = await diffConfigurations(source, base?.root, inForce.root);
-    return [`Changed since version ${since}:`, ...describeChanges(changes)];
+    const changes = await diffConfigurations(source, baseVersion?.root, inForce.root);
+    return [`Changed since version ${sinceVersion}:`, ...describeChanges(changes)];
   } catch (error) {
-    if (error instanceof RouterError) return [`What changed is not known: ${error.message}`];
+    if (error instanceof RouterError)
+      return [`The changes could not be determined: ${error.message}`];
     throw error;
   }
 }
 
-function gaveUp(
+function createUnavailableError(
   request: AcceptanceRequest,
-  isWritten: boolean,
+  isWriteAttempted: boolean,
   cause: Error | undefined,
 ): RouterError {
   const options = cause === undefined ? {} : { cause };
   const { environment } = request;
-  if (!isWritten) {
+  if (!isWriteAttempted) {
     return new RouterError(
       'storeUnavailable',
-      `nothing of ${environment} was changed: the store could not be read or the objects not written`,
+      `nothing was changed in ${environment}: the store could not be read or the objects could not be written`,
       options,
     );
   }
   return new RouterError(
     'storeUnavailable',
-    `whether the document is in force in ${environment} is unknown: the answer was lost and the store could not be read since`,
+    `whether the document is in force in ${environment} is unknown: the response to the write was lost and the store could not be read afterwards`,
     { ...options, ran: 'unknown' },
   );
 }
 
-function conditionOf(stored: StoredObject | undefined) {
+function toWriteCondition(stored: StoredObject | undefined) {
   if (stored === undefined) return { kind: 'absent' } as const;
   return { kind: 'version', version: stored.version } as const;
 }
--- a/packages/operators/src/collectGarbage/index.ts
+++ b/packages/operators/src/collectGarbage/index.ts
@@ -3,38 +3,39 @@
 import { objectsOf, type CompiledEnvironment } from '../compileEnvironment/index.js';
 import {
   objectKey,
-  storedTextSchema,
+  storedObjectSchema,
   StoreConfigurationObjects,
   type ConfigurationObjects,
 } from '../ConfigurationObjects/index.js';
 import { parseNode } from '../configurationTree/index.js';
 import { versionsOf, type Manifest } from '../manifest/index.js';
 
-/** How long an object is left alone after it was written, in milliseconds. */
+/** Minimum age of an object before it may be removed, in milliseconds. */
 export const garbageGraceMs = millisecondsInHour;
 
-/** How many objects one run removes at most. */
+/** Maximum number of objects removed per run. */
 export const maxRemovalsPerRun = 64;
 
-/** About how many objects one run looks at. */
-const objectsPerRun = 32;
+/** Approximate number of objects examined per run. */
+const targetObjectsPerRun = 32;
 
 /**
- * Removes objects that no kept version refers to: those of versions too old to roll back to, and
- * those of acceptances that never came into force.
+ * Removes objects that no version in the manifest refers to. Such objects come from versions too old
+ * to roll back to, and from acceptances that never came into force.
  *
- * One run looks at one slice of the digests, another slice with each version, and removes a bounded
- * number. An acceptance under way may be about to refer to an object that nothing refers to yet. It
- * writes each object anew that the version in force lacks, so that object is young, or its version
- * has changed and the conditional removal fails: either way it stays.
+ * Each run examines the objects with one digest prefix, which changes with the manifest version, and
+ * removes a limited number of them. An acceptance in progress may be about to refer to an object
+ * that is unreferenced so far. It rewrites every object that the version in force lacks. Either the
+ * listed object is then too new to be removed, or its version changes after the listing and the
+ * conditional removal fails, so the object is kept in both cases.
  *
- * Failures are not passed on: the next run meets the same garbage.
+ * Errors of kind RouterError are ignored: a later run finds the same garbage again.
  *
- * @param store - the platform's store
- * @param clock - tells the objects' age
- * @param manifest - what is in force
- * @param compiled - its objects
- * @returns how many objects were removed
+ * @param store - the platform's object store
+ * @param clock - used to determine the age of objects
+ * @param manifest - the manifest in force
+ * @param compiled - the compiled document of the version in force
+ * @returns the number of removed objects
  *
  * @example
  * const removed = await collectGarbage(store, clock, manifest, compiled);
@@ -45,7 +46,7 @@
   manifest: Manifest,
   compiled: CompiledEnvironment,
 ): Promise<number> {
-  // Somebody else's version may refer to more than the objects that are known here.
+  // Another writer's version may refer to objects that `compiled` does not contain.
   if (manifest.root.accounts !== compiled.root.accounts) return 0;
   try {
     return await removeGarbage(store, clock, manifest, compiled);
@@ -62,22 +63,22 @@
   compiled: CompiledEnvironment,
 ): Promise<number> {
   const { environment, version } = manifest;
-  const kept = new Set([...objectsOf(compiled)].map(({ digest }) => digest));
-  const slice = sliceOf(version, kept.size);
-  const listed = await store.list(objectKey(environment, slice));
-  const oldestMs = clock.wallMs() - garbageGraceMs;
+  const reachable = new Set([...objectsOf(compiled)].map(({ digest }) => digest));
+  const digestPrefix = digestPrefixFor(version, reachable.size);
+  const listed = await store.list(objectKey(environment, digestPrefix));
+  const cutoffMs = clock.wallMs() - garbageGraceMs;
   const candidates = listed.filter(({ key, value }) => {
-    const writtenAtMs = storedTextSchema.safeParse(value).data?.writtenAtMs ?? Infinity;
-    return writtenAtMs < oldestMs && !kept.has(digestOf(key));
+    const writtenAtMs = storedObjectSchema.safeParse(value).data?.writtenAtMs ?? Infinity;
+    return writtenAtMs < cutoffMs && !reachable.has(digestOf(key));
   });
   if (candidates.length === 0) return 0;
   const source = new StoreConfigurationObjects(store, environment);
   for (const { root } of versionsOf(manifest)) {
-    kept.add(root.settings);
-    await addReachable(source, root.accounts, kept);
-    await addReachable(source, root.keys, kept);
+    reachable.add(root.settings);
+    await addReachable(source, root.accounts, reachable);
+    await addReachable(source, root.keys, reachable);
   }
-  const garbage = candidates.filter(({ key }) => !kept.has(digestOf(key)));
+  const garbage = candidates.filter(({ key }) => !reachable.has(digestOf(key)));
   let removed = 0;
   for (const object of garbage.slice(0, maxRemovalsPerRun)) {
     const result = await store.remove(object.key, object.version);
@@ -86,30 +87,30 @@
   return removed;
 }
 
-/** Adds a tree's digests; what is kept already was added with all below it. */
+/** Adds the digests of a tree. A digest already in the set was added with all its descendants. */
 async function addReachable(
   source: ConfigurationObjects,
   digest: string,
-  kept: Set<string>,
+  reachable: Set<string>,
 ): Promise<void> {
-  if (kept.has(digest)) return;
+  if (reachable.has(digest)) return;
   const text = await source.read(digest);
   if (text === undefined) return;
   const node = parseNode(digest, text);
   if (node.kind === 'branch') {
-    for (const child of node.children.values()) await addReachable(source, child, kept);
+    for (const child of node.children.values()) await addReachable(source, child, reachable);
   }
-  kept.add(digest);
+  reachable.add(digest);
 }
 
-/** The first digits of the digests that this version's run looks at. */
-function sliceOf(version: number, objects: number): string {
-  const digits = Math.min(
+/** The digest prefix examined in the run for this version; the next version uses the next prefix. */
+function digestPrefixFor(version: number, objectCount: number): string {
+  const prefixDigits = Math.min(
     2,
-    Math.ceil(Math.log(Math.max(1, objects / objectsPerRun)) / Math.log(16)),
+    Math.ceil(Math.log(Math.max(1, objectCount / targetObjectsPerRun)) / Math.log(16)),
   );
-  if (digits <= 0) return '';
-  return (version % 16 ** digits).toString(16).padStart(digits, '0');
+  if (prefixDigits <= 0) return '';
+  return (version % 16 ** prefixDigits).toString(16).padStart(prefixDigits, '0');
 }
 
 function digestOf(key: string): string {
--- a/packages/operators/src/compileEnvironment/index.ts
+++ b/packages/operators/src/compileEnvironment/index.ts
@@ -12,10 +12,10 @@
 import type { EnvironmentDocument } from '../environmentSchema/index.js';
 import type { ConfigurationRoot, EnvironmentSettings } from '../types.js';
 
-/** The most bytes that the classes and services of a document may take together. */
+/** Maximum size of the compiled settings (classes and services) of a document, in bytes. */
 export const maxSettingsBytes = 262_144;
 
-/** A document as small objects. */
+/** A document split into small content-addressed objects. */
 export interface CompiledEnvironment {
   readonly settings: EnvironmentSettings;
   readonly settingsText: string;
@@ -26,18 +26,18 @@
 
 /** Options of {@link compileEnvironment}. */
 export interface CompileEnvironmentOptions {
-  /** The size at which a leaf is split, in bytes; all writers of an environment use the same. */
+  /** Maximum size of a tree leaf in bytes; must be the same for all writers of an environment. */
   leafBytes?: number;
 }
 
 /**
- * Compiles a document to small objects named by their digests; the same document always makes the
- * same objects.
+ * Compiles a document into small content-addressed objects. Compilation is deterministic: equal
+ * documents produce equal objects.
  *
- * @param document - a checked document
- * @param options - for measurements
- * @returns the objects and where they begin
- * @throws RouterError `badDocument` when its classes and services are too large
+ * @param document - a validated document
+ * @param options - leaf size, for measurements
+ * @returns the objects and the digests of their roots
+ * @throws RouterError `badDocument` if the classes and services are too large
  *
  * @example
  * const { root } = compileEnvironment(parseEnvironment(text));
@@ -52,7 +52,7 @@
   if (settingsText.length > maxSettingsBytes) {
     throw new RouterError(
       'badDocument',
-      `classes and services take ${settingsText.length} bytes: write at most ${maxSettingsBytes}`,
+      `classes and services take ${settingsText.length} bytes: the maximum is ${maxSettingsBytes}`,
     );
   }
   const accounts = buildTree(document.accounts.flatMap(accountEntries), options.leafBytes);
@@ -70,7 +70,7 @@
   };
 }
 
-/** Every object of a compiled document, by digest. */
+/** Yields every object of a compiled document with its digest. */
 export function* objectsOf(
   compiled: CompiledEnvironment,
 ): Generator<{ readonly digest: string; readonly text: string }> {
--- a/packages/operators/src/configurationTree/index.ts
+++ b/packages/operators/src/configurationTree/index.ts
@@ -1,39 +1,40 @@
 /**
- * The tree that an accepted document's accounts and keys are kept in.
+ * A Merkle radix tree that stores the accounts and API keys of an accepted document.
  *
- * Its shape depends on nothing but what it holds, and each node's name is the digest of its text. So
- * two versions share all nodes but those on the way to what changed: one changed account of 2,300
- * costs a few small objects to write, to fetch and to index, not the whole.
+ * Its shape depends only on its entries, and each node is content-addressed by the digest of its
+ * text. Two versions therefore share every node except those on the path to a changed entry: changing
+ * one account of 2,300 means writing, fetching and indexing a few small objects, not the whole tree.
  */
 import { digestText, hashText, RouterError } from '@acaciacrank/base';
 import { z } from 'zod';
 
 /**
- * A leaf is split when it would hold more, in bytes of text. Smaller leaves make more objects to
- * read at a start, larger ones more bytes a change; `npm run experiment -- configuration-size`.
+ * Approximate maximum size of a leaf's text in bytes; a larger leaf is split. Smaller leaves mean
+ * more objects to read at start-up, larger ones more bytes to transfer per change. To compare
+ * sizes, run `npm run experiment -- configuration-size`.
  */
 export const maxLeafBytes = 8_192;
 
-/** Hexadecimal digits of a node's digest that are kept: 128 bits. */
-const digestDigits = 32;
+/** Length of a node's digest in hexadecimal digits (128 bits); the rest of the hash is cut off. */
+const digestHexDigits = 32;
 
-/** Hexadecimal digits of each half of a path. */
-const hashDigits = 8;
+/** Length of each half of a path in hexadecimal digits. */
+const hashHexDigits = 8;
 
-/** The part of an account that is not its budgets. */
+/** An account without its budgets. */
 export interface AccountHead {
   readonly keyDigests: readonly string[];
   readonly weighs?: 'overspend' | 'falseRefusals' | undefined;
 }
 
-/** What one leaf holds of an account; `head` is in one leaf only, budgets may be in many. */
+/** The part of an account in one leaf. `head` is in exactly one leaf; budgets may span several. */
 export interface AccountPart {
   readonly head?: AccountHead | undefined;
   /** Opening tokens by budget id. */
   readonly budgets: ReadonlyMap<string, number>;
 }
 
-/** One thing to keep in a tree. */
+/** One entry of a tree: the head of an account, a budget or a key. */
 export type TreeEntry =
   | {
       readonly kind: 'head';
@@ -65,11 +66,11 @@
       }),
     )
     .optional(),
-  /** Account by key digest. */
+  /** Account ids by key digest. */
   keys: z.record(name, name).optional(),
 });
 const branchSchema = z.strictObject({
-  /** Which digit of the path tells the children apart. */
+  /** Index of the path digit by which the children are selected. */
   at: z.number().int().nonnegative(),
   children: z.record(z.string().regex(/^[0-9a-f]$/), name),
 });
@@ -89,7 +90,7 @@
     this.digest = objectDigest(text);
   }
 
-  /** Accounts by id; read from the text when first asked for, since most leaves never are. */
+  /** Accounts by id; parsed on first access, because most leaves are never accessed. */
   get accounts(): ReadonlyMap<string, AccountPart> {
     this.#accounts ??= new Map(
       Object.entries((JSON.parse(this.text) as LeafValue).accounts ?? {}).map(([id, part]) => [
@@ -107,7 +108,7 @@
   }
 }
 
-/** A node with children, told apart by one digit of the path. */
+/** A node whose children are selected by one digit of the path. */
 export class TreeBranch {
   readonly kind = 'branch';
   readonly digest: string;
@@ -124,11 +125,10 @@
   }
 }
 
-/** One node of a tree. */
 export type TreeNode = TreeLeaf | TreeBranch;
 
-/** What the text of a node says, before its children are loaded. */
-export type NodeText =
+/** A node as parsed from its text; a branch maps path digits to the digests of its children. */
+export type ParsedNode =
   | { readonly kind: 'leaf' }
   | {
       readonly kind: 'branch';
@@ -137,37 +137,37 @@
     };
 
 /**
- * The name of an object: the digest of its text.
+ * Computes the content address of an object: the truncated digest of its text.
  *
  * @example
  * objectDigest('{}').length;
  * //=> 32
  */
 export function objectDigest(text: string): string {
-  return digestText(text).slice(0, digestDigits);
+  return digestText(text).slice(0, digestHexDigits);
 }
 
-/** The path of an account's head. */
+/** The path of an account's head entry. */
 export function accountPath(accountId: string): string {
-  return hashOf(accountId).padEnd(2 * hashDigits, '0');
+  return toHexHash(accountId).padEnd(2 * hashHexDigits, '0');
 }
 
-/** The path of a budget: near its account's other budgets. */
+/** The path of a budget; it shares a prefix with the account's other budgets. */
 export function budgetPath(accountId: string, budgetId: string): string {
-  return hashOf(accountId) + hashOf(budgetId);
+  return toHexHash(accountId) + toHexHash(budgetId);
 }
 
-/** The path of a key. */
+/** The path of an API key, taken from its digest. */
 export function keyPath(digest: string): string {
-  return digest.slice(0, 2 * hashDigits);
+  return digest.slice(0, 2 * hashHexDigits);
 }
 
 /**
- * Builds the tree of some entries.
+ * Builds a tree.
  *
- * @param entries - in any order
- * @param leafBytes - a leaf is split when it would hold more
- * @returns the root
+ * @param entries - the entries, in any order
+ * @param leafBytes - approximate maximum size of a leaf in bytes; a larger leaf is split
+ * @returns the root node
  *
  * @example
  * const root = buildTree([{ kind: 'key', path: keyPath(digest), id: 'wellington', digest }]);
@@ -177,37 +177,37 @@
   leafBytes: number = maxLeafBytes,
 ): TreeNode {
   const sorted = [...entries].sort(
-    (a, b) => compare(a.path, b.path) || compare(nameOf(a), nameOf(b)),
+    (a, b) => compare(a.path, b.path) || compare(sortKeyOf(a), sortKeyOf(b)),
   );
   return buildNode(sorted, 0, leafBytes);
 }
 
-/** The leaf that holds a path, if any does. */
+/** Finds the leaf in which an entry with this path would be stored, if there is one. */
 export function findLeaf(root: TreeNode, path: string): TreeLeaf | undefined {
   let node: TreeNode | undefined = root;
   while (node?.kind === 'branch') node = node.children.get(path[node.at] ?? '');
   return node;
 }
 
-/** All leaves, in order of path. */
+/** Yields all leaves, in path order. */
 export function* leavesOf(node: TreeNode): Generator<TreeLeaf> {
   if (node.kind === 'leaf') yield node;
   else for (const child of node.children.values()) yield* leavesOf(child);
 }
 
-/** A node and all below it. */
+/** Yields a node and all its descendants. */
 export function* nodesOf(node: TreeNode): Generator<TreeNode> {
   yield node;
   if (node.kind === 'branch') for (const child of node.children.values()) yield* nodesOf(child);
 }
 
 /**
- * Checks an object's text: that it is what its name says, and that it is a node.
+ * Verifies the text of a node against its digest and parses it.
  *
- * @throws RouterError `badDocument`
+ * @throws RouterError `badDocument` if the digest does not match or the text is not a valid node
  */
-export function parseNode(digest: string, text: string): NodeText {
-  const value = checkedValue(digest, text);
+export function parseNode(digest: string, text: string): ParsedNode {
+  const value = parseVerifiedObject(digest, text);
   const branch = branchSchema.safeParse(value);
   if (branch.success) {
     return {
@@ -217,22 +217,25 @@
     };
   }
   if (leafSchema.safeParse(value).success) return { kind: 'leaf' };
-  throw new RouterError('badDocument', `the configuration object ${digest} does not parse`);
+  throw new RouterError('badDocument', `configuration object ${digest} is not a valid tree node`);
 }
 
 /**
- * Checks that a text is what its name says, and reads it.
+ * Verifies the text of an object against its digest and parses it as JSON.
  *
- * @throws RouterError `badDocument`
+ * @throws RouterError `badDocument` if the digest does not match or the text is not JSON
  */
-export function checkedValue(digest: string, text: string): unknown {
+export function parseVerifiedObject(digest: string, text: string): unknown {
   if (objectDigest(text) !== digest) {
-    throw new RouterError('badDocument', `the configuration object ${digest} is damaged`);
+    throw new RouterError(
+      'badDocument',
+      `configuration object ${digest} is damaged: its content does not match its digest`,
+    );
   }
   try {
     return JSON.parse(text);
   } catch (error) {
-    throw new RouterError('badDocument', `the configuration object ${digest} is not JSON`, {
+    throw new RouterError('badDocument', `configuration object ${digest} is not valid JSON`, {
       cause: error as Error,
     });
   }
@@ -241,10 +244,10 @@
 function buildNode(entries: readonly TreeEntry[], depth: number, leafBytes: number): TreeNode {
   const first = entries[0]?.path ?? '';
   const last = entries.at(-1)?.path ?? '';
-  const at = firstDifference(first, last, depth);
-  const bytes = entries.reduce((sum, entry) => sum + bytesOf(entry), 0);
-  // Entries of one path cannot be told apart: they share a leaf, whatever its size.
-  if (bytes <= leafBytes || first === last) return new TreeLeaf(leafText(entries));
+  const at = findFirstDifference(first, last, depth);
+  const bytes = entries.reduce((sum, entry) => sum + estimateBytes(entry), 0);
+  // Entries with the same path cannot be split any further, so they share a leaf of any size.
+  if (bytes <= leafBytes || first === last) return new TreeLeaf(serializeLeaf(entries));
   const groups = new Map<string, TreeEntry[]>();
   for (const entry of entries) {
     const digit = entry.path[at] ?? '';
@@ -258,7 +261,7 @@
   );
 }
 
-function leafText(entries: readonly TreeEntry[]): string {
+function serializeLeaf(entries: readonly TreeEntry[]): string {
   const accounts: Record<string, { head?: AccountHead; budgets: Record<string, number> }> = {};
   const keys: Record<string, string> = {};
   for (const entry of entries) {
@@ -266,7 +269,8 @@
       keys[entry.digest] = entry.id;
       continue;
     }
-    // Ids begin with a letter or digit; hasOwn keeps names such as `constructor` apart.
+    // hasOwn, because an id such as `constructor` would otherwise be found on Object.prototype.
+    // Ids begin with a letter or digit, so `__proto__` cannot occur.
     if (!Object.hasOwn(accounts, entry.id)) accounts[entry.id] = { budgets: {} };
     const part = accounts[entry.id];
     if (part === undefined) continue;
@@ -279,26 +283,26 @@
   });
 }
 
-/** About what an entry adds to its leaf's text. */
-function bytesOf(entry: TreeEntry): number {
+/** Estimates how many bytes an entry adds to its leaf's text. */
+function estimateBytes(entry: TreeEntry): number {
   if (entry.kind === 'key') return entry.digest.length + entry.id.length + 6;
   if (entry.kind === 'head') return entry.id.length + 50 + entry.head.keyDigests.length * 67;
   return entry.budgetId.length + String(entry.openingTokens).length + 4;
 }
 
-function nameOf(entry: TreeEntry): string {
+function sortKeyOf(entry: TreeEntry): string {
   if (entry.kind === 'key') return entry.digest;
   return entry.kind === 'head' ? entry.id : `${entry.id} ${entry.budgetId}`;
 }
 
-function firstDifference(a: string, b: string, from: number): number {
+function findFirstDifference(a: string, b: string, from: number): number {
   let at = from;
   while (at < a.length && a[at] === b[at]) at += 1;
   return at;
 }
 
-function hashOf(text: string): string {
-  return hashText(text).toString(16).padStart(hashDigits, '0');
+function toHexHash(text: string): string {
+  return hashText(text).toString(16).padStart(hashHexDigits, '0');
 }
 
 function compare(a: string, b: string): number {
--- a/packages/operators/src/diffConfigurations/index.ts
+++ b/packages/operators/src/diffConfigurations/index.ts
@@ -1,37 +1,38 @@
-import { readRequired, type ConfigurationObjects } from '../ConfigurationObjects/index.js';
+import { readRequiredObject, type ConfigurationObjects } from '../ConfigurationObjects/index.js';
 import {
   leavesOf,
   parseNode,
   TreeLeaf,
   type AccountHead,
-  type NodeText,
+  type ParsedNode,
 } from '../configurationTree/index.js';
 import type { ConfigurationRoot, EnvironmentSettings } from '../types.js';
 
 /** One difference between two accepted documents. */
 export interface ConfigurationChange {
   readonly kind: 'added' | 'removed' | 'changed';
-  /** What differs, for example `account wellington budget wellington-2026`. */
+  /** The changed element, for example `account wellington budget wellington-2026`. */
   readonly what: string;
-  /** JSON; undefined for what was added. */
+  /** The old value as JSON or as text; undefined if the element was added. */
   readonly before?: string | undefined;
-  /** JSON; undefined for what was removed. */
+  /** The new value as JSON or as text; undefined if the element was removed. */
   readonly after?: string | undefined;
-  /** What the operator should know of this change, where it does less or more than it seems. */
+  /** Warns the operator if the change does more or less than one would expect. */
   readonly warning?: string | undefined;
 }
 
-/** Flat things by name; heads and budgets of accounts, or parts of the settings. */
-type Parts = ReadonlyMap<string, string>;
+/** Printable values by element name: account heads and budgets, or elements of the settings. */
+type ConfigurationParts = ReadonlyMap<string, string>;
 
 /**
- * What differs between two accepted documents. Only the objects that differ are read.
+ * Compares two accepted documents. Subtrees with equal digests are not read.
  *
- * @param source - where the objects of both are read from
- * @param before - where the earlier one begins; undefined when there is none
- * @param after - where the later one begins
+ * @param source - source of the objects of both documents
+ * @param before - root digests of the earlier document; undefined if there is none
+ * @param after - root digests of the later document
  * @returns the changes, settings first
- * @throws what the source throws
+ * @throws RouterError `notFound` for a missing object, `badDocument` for a damaged tree node, or the
+ * error of the source
  *
  * @example
  * const changes = await diffConfigurations(objects, manifest.root, compiled.root);
@@ -42,18 +43,18 @@
   after: ConfigurationRoot,
 ): Promise<ConfigurationChange[]> {
   const settings = compareParts(
-    await settingsParts(source, before?.settings),
-    await settingsParts(source, after.settings),
+    await readSettingsParts(source, before?.settings),
+    await readSettingsParts(source, after.settings),
   );
   const accounts = await diffTrees(source, before?.accounts, after.accounts);
-  return [...settings, ...accounts].map(withWarning);
+  return [...settings, ...accounts].map(addWarning);
 }
 
 /**
- * What differs, a line each, with a bound on their number.
+ * Formats changes for operators, one line per change plus one per warning.
  *
  * @param changes - from {@link diffConfigurations}
- * @param maxLines - how many changes are listed; the rest is counted
+ * @param maxLines - maximum number of changes to list; the last line gives the number of the others
  *
  * @example
  * describeChanges(changes);
@@ -67,16 +68,16 @@
       `${signs[kind]} ${what} ${[before, after].filter((side) => side !== undefined).join(' -> ')}`,
       ...(warning === undefined ? [] : [`    note: ${warning}`]),
     ]);
-  const rest = changes.length - maxLines;
-  return rest > 0 ? [...lines, `  and ${rest} more changes`] : lines;
+  const unlistedCount = changes.length - maxLines;
+  return unlistedCount > 0 ? [...lines, `  and ${unlistedCount} more changes`] : lines;
 }
 
-async function settingsParts(
+async function readSettingsParts(
   source: ConfigurationObjects,
   digest: string | undefined,
-): Promise<Parts> {
+): Promise<ConfigurationParts> {
   if (digest === undefined) return new Map();
-  const settings = JSON.parse(await readRequired(source, digest)) as EnvironmentSettings;
+  const settings = JSON.parse(await readRequiredObject(source, digest)) as EnvironmentSettings;
   const parts = new Map([
     ['weighs', JSON.stringify(settings.weighs)],
     ['order of classes', JSON.stringify(settings.classes.map(({ name }) => name))],
@@ -86,44 +87,55 @@
   return parts;
 }
 
-/** Walks both trees side by side, and looks into what has different names only. */
+/** Walks both trees in parallel and descends only into subtrees whose digests differ. */
 async function diffTrees(
   source: ConfigurationObjects,
   before: string | undefined,
   after: string | undefined,
 ): Promise<ConfigurationChange[]> {
   if (before === after) return [];
-  const [old, fresh] = await Promise.all([readNode(source, before), readNode(source, after)]);
-  if (old?.kind === 'branch' && fresh?.kind === 'branch' && old.at === fresh.at) {
-    const digits = [...new Set([...old.children.keys(), ...fresh.children.keys()])].sort();
+  const [beforeNode, afterNode] = await Promise.all([
+    readNode(source, before),
+    readNode(source, after),
+  ]);
+  if (
+    beforeNode?.kind === 'branch' &&
+    afterNode?.kind === 'branch' &&
+    beforeNode.at === afterNode.at
+  ) {
+    const digits = [
+      ...new Set([...beforeNode.children.keys(), ...afterNode.children.keys()]),
+    ].sort();
     const changes: ConfigurationChange[] = [];
     for (const digit of digits) {
       changes.push(
-        ...(await diffTrees(source, old.children.get(digit), fresh.children.get(digit))),
+        ...(await diffTrees(source, beforeNode.children.get(digit), afterNode.children.get(digit))),
       );
     }
     return changes;
   }
-  return compareParts(await treeParts(source, before), await treeParts(source, after));
+  return compareParts(await readTreeParts(source, before), await readTreeParts(source, after));
 }
 
 async function readNode(
   source: ConfigurationObjects,
   digest: string | undefined,
-): Promise<NodeText | undefined> {
-  return digest === undefined ? undefined : parseNode(digest, await readRequired(source, digest));
+): Promise<ParsedNode | undefined> {
+  return digest === undefined
+    ? undefined
+    : parseNode(digest, await readRequiredObject(source, digest));
 }
 
-async function treeParts(
+async function readTreeParts(
   source: ConfigurationObjects,
   digest: string | undefined,
   parts = new Map<string, string>(),
 ): Promise<Map<string, string>> {
   if (digest === undefined) return parts;
-  const text = await readRequired(source, digest);
+  const text = await readRequiredObject(source, digest);
   const node = parseNode(digest, text);
   if (node.kind === 'branch') {
-    for (const child of node.children.values()) await treeParts(source, child, parts);
+    for (const child of node.children.values()) await readTreeParts(source, child, parts);
     return parts;
   }
   for (const { accounts } of leavesOf(new TreeLeaf(text))) {
@@ -137,18 +149,22 @@
   return parts;
 }
 
-/** Digests are shortened: eight digits tell two keys apart and fit on a line. */
+/** Digests are shortened to eight digits: enough to distinguish two keys, and fits on a line. */
 function describeHead({ keyDigests, weighs }: AccountHead): string {
   const keys = keyDigests.map((digest) => `${digest.slice(0, 8)}…`).join(', ');
   return `keys ${keys}${weighs === undefined ? '' : `, weighs ${weighs}`}`;
 }
 
-function compareParts(before: Parts, after: Parts): ConfigurationChange[] {
+function compareParts(
+  before: ConfigurationParts,
+  after: ConfigurationParts,
+): ConfigurationChange[] {
   const changes: ConfigurationChange[] = [];
   for (const [what, value] of before) {
-    const other = after.get(what);
-    if (other === undefined) changes.push({ kind: 'removed', what, before: value });
-    else if (other !== value) changes.push({ kind: 'changed', what, before: value, after: other });
+    const afterValue = after.get(what);
+    if (afterValue === undefined) changes.push({ kind: 'removed', what, before: value });
+    else if (afterValue !== value)
+      changes.push({ kind: 'changed', what, before: value, after: afterValue });
   }
   for (const [what, value] of after) {
     if (!before.has(what)) changes.push({ kind: 'added', what, after: value });
@@ -156,17 +172,17 @@
   return changes;
 }
 
-function withWarning(change: ConfigurationChange): ConfigurationChange {
+function addWarning(change: ConfigurationChange): ConfigurationChange {
   if (!/^account \S+ budget /.test(change.what)) return change;
   if (change.kind === 'changed') {
     return {
       ...change,
       warning:
-        'a budget that has been drawn on keeps its prepaid total; to add tokens use acaciacrankctl top-up',
+        'a budget that has already been used keeps its prepaid total; to add tokens, use acaciacrankctl top-up',
     };
   }
   if (change.kind === 'removed') {
-    return { ...change, warning: 'what is left of this budget can no longer be spent' };
+    return { ...change, warning: 'the remaining tokens of this budget can no longer be spent' };
   }
   return change;
 }
--- a/packages/operators/src/environmentStore/index.ts
+++ b/packages/operators/src/environmentStore/index.ts
@@ -7,14 +7,14 @@
 import { isTrial } from '../trialRuns/index.js';
 
 /**
- * The part of the platform's store that belongs to an environment.
+ * Returns the view of the platform's object store that an environment uses.
  *
- * Trial and production have the same document, so the same account and budget ids: without a prefix
- * of its own, a request in trial would spend what a customer has prepaid in production.
+ * Trial and production share the same document and therefore the same account and budget ids. Without
+ * a separate key prefix, a request in trial would spend tokens prepaid for production.
  *
- * @param store - the platform's store
+ * @param store - the platform's object store
  * @param environment - for example `kapiti` or `kapiti.trial`
- * @returns the store itself for production, a view of it for trial
+ * @returns the store itself for production, a view with a key prefix for trial
  *
  * @example
  * const store = environmentStore(platformStore, settings.environment);
@@ -24,12 +24,13 @@
 }
 
 /**
- * The part of the platform's list that belongs to an environment: entry instances that the list puts
- * in another one are left out, so that production's callers are never sent to an instance of trial.
+ * Returns a view of the platform's instance list without the instances of other environments, so that
+ * production callers are never sent to a trial instance. Instances that are listed without an
+ * environment are included.
  *
- * @param list - the platform's list
+ * @param list - the platform's instance list
  * @param environment - for example `kapiti`
- * @returns a view of the list
+ * @returns the filtered list
  *
  * @example
  * const list = environmentList(platformList, settings.environment);
--- a/packages/operators/src/index.ts
+++ b/packages/operators/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Operators as peers: the environment document, its checks and how it comes into force.
+ * Environment documents: validation, storage, acceptance, rollback and distribution to instances.
  */
 export type * from './types.js';
 export * from './environmentSchema/index.js';
--- a/packages/operators/src/isRepeatableCall/index.ts
+++ b/packages/operators/src/isRepeatableCall/index.ts
@@ -1,50 +1,54 @@
 import type { PlainServiceDocument } from '../environmentSchema/index.js';
 
-/** One call to a plain service, as far as this decision looks at it. */
-export interface CallLine {
+/** Method and path of a call to a plain service. */
+export interface RequestLine {
   readonly method: string;
   /** Path and query. */
   readonly path: string;
 }
 
 /**
- * Segments that a service may resolve to another path than the one that was matched: `.`, `..`,
- * empty ones, and the same or a slash in percent-encoding.
+ * Matches paths that a service may resolve to a different path: those with `.`, `..` or empty
+ * segments, with backslashes, or with a percent-encoded dot, slash or backslash.
  */
-const ambiguousPath = /\/\.{0,2}(\/|$)|\\|%(2e|2f|5c)/i;
+const ambiguousPathPattern = /\/\.{0,2}(\/|$)|\\|%(2e|2f|5c)/i;
 
 /**
- * Whether a call may be repeated, by its service's document.
+ * Whether a call is idempotent according to the configuration of its service, and so may be retried.
  *
- * `/availability/../confirmations` matches the pattern of a call that may be repeated and is
- * another call once the service has resolved it; a family would pay twice. So a path that can be
- * read in two ways matches no pattern.
+ * A service may resolve `/availability/../confirmations`, which matches the pattern of an idempotent
+ * call, to a call that is not idempotent; a retry would then charge a customer twice. Ambiguous paths
+ * therefore match no pattern.
  *
- * @param service - the service
- * @param call - method and path
- * @returns whether a second run has no second effect
+ * @param service - the service's configuration
+ * @param call - method and path of the call
+ * @returns whether a second execution has no further effect
  *
  * @example
  * isRepeatableCall(service, { method: 'GET', path: '/records/7' });
  * //=> true
  */
-export function isRepeatableCall(service: PlainServiceDocument, call: CallLine): boolean {
+export function isRepeatableCall(service: PlainServiceDocument, call: RequestLine): boolean {
   const { method } = call;
   if (service.repeatableMethods.some((repeatable) => repeatable === method)) return true;
   const [path = ''] = call.path.split(/[?#]/, 1);
-  if (ambiguousPath.test(path.replace(/\/$/, ''))) return false;
+  if (ambiguousPathPattern.test(path.replace(/\/$/, ''))) return false;
   return service.repeatableCalls.some(
-    (pattern) => pattern.method === method && fits(segmentsOf(pattern.path), segmentsOf(path)),
+    (pattern) =>
+      pattern.method === method && matchesPattern(splitSegments(pattern.path), splitSegments(path)),
   );
 }
 
-function segmentsOf(path: string): string[] {
+function splitSegments(path: string): string[] {
   return path.split('/').filter((segment) => segment !== '');
 }
 
-function fits(pattern: readonly string[], path: readonly string[]): boolean {
-  const isOpen = pattern.at(-1) === '**';
-  const fixed = isOpen ? pattern.slice(0, -1) : pattern;
-  if (isOpen ? path.length < fixed.length : path.length !== fixed.length) return false;
-  return fixed.every((segment, at) => segment === '*' || segment === path[at]);
+function matchesPattern(pattern: readonly string[], path: readonly string[]): boolean {
+  const hasTrailingWildcard = pattern.at(-1) === '**';
+  const fixedSegments = hasTrailingWildcard ? pattern.slice(0, -1) : pattern;
+  if (
+    hasTrailingWildcard ? path.length < fixedSegments.length : path.length !== fixedSegments.length
+  )
+    return false;
+  return fixedSegments.every((segment, at) => segment === '*' || segment === path[at]);
 }
--- a/packages/operators/src/isRepeatableCall/test.ts
+++ b/packages/operators/src/isRepeatableCall/test.ts
@@ -32,9 +32,10 @@
   });
 }
 
-// A family pays twice for one shelter: the call fits a pattern of what may be repeated and is
-// retried, while the service resolves its dots, or the encoded ones, to the confirmation.
-test('a path that can be read in two ways matches no pattern', (t) => {
+// Guards against charging a customer twice for one booking: the path matches the pattern of an
+// idempotent call and is retried, but the service resolves its plain or percent-encoded dots to the
+// confirmation, which is not idempotent.
+test('an ambiguous path matches no pattern', (t) => {
   for (const path of [
     '/drafts/../confirmations',
     '/drafts/%2e%2e/confirmations',
--- a/packages/operators/src/loadConfiguration/index.ts
+++ b/packages/operators/src/loadConfiguration/index.ts
@@ -1,8 +1,8 @@
 import { RouterError } from '@acaciacrank/base';
 import { z } from 'zod';
-import { readRequired, type ConfigurationObjects } from '../ConfigurationObjects/index.js';
+import { readRequiredObject, type ConfigurationObjects } from '../ConfigurationObjects/index.js';
 import {
-  checkedValue,
+  parseVerifiedObject,
   objectDigest,
   parseNode,
   TreeBranch,
@@ -13,8 +13,8 @@
 import { environmentSchema } from '../environmentSchema/index.js';
 import type { ConfigurationRoot, EnvironmentSettings } from '../types.js';
 
-/** How many objects are read at once. */
-const maxReadsAtOnce = 32;
+/** Maximum number of concurrent object reads. */
+const maxConcurrentReads = 32;
 
 const settingsSchema = z.strictObject({
   environment: environmentSchema.shape.environment,
@@ -25,21 +25,21 @@
 
 /** Options of {@link loadConfiguration}. */
 export interface LoadConfigurationOptions {
-  /** An earlier version; its objects are not read again. */
+  /** An earlier version whose objects are reused instead of being read again. */
   known?: CompiledEnvironment | undefined;
-  /** Keeps what was read, so that an attempt that failed is taken up where it stopped. */
-  fetched?: Map<string, string>;
+  /** Collects object texts by digest; pass the same map again to resume after a failed attempt. */
+  fetchedTexts?: Map<string, string>;
 }
 
 /**
- * Loads an accepted document, whole or not at all.
+ * Loads an accepted document completely; a partial result is never returned.
  *
- * @param source - where its objects are read from
- * @param root - where it begins
- * @param options - what is known already
- * @returns the document as small objects, each checked
- * @throws RouterError `notFound` for an object that is not there, `badDocument` for one that is
- * damaged or that this program cannot read, `storeUnavailable` when a source does not answer
+ * @param source - source of the document's objects
+ * @param root - digests of the document's root objects
+ * @param options - objects that need not be read again
+ * @returns the compiled document, with every newly read object verified
+ * @throws RouterError `notFound` if an object is missing, `badDocument` if one is damaged or cannot
+ * be read by this release, `storeUnavailable` if the source does not answer
  *
  * @example
  * const compiled = await loadConfiguration(objects, manifest.root, { known: inForce.compiled });
@@ -49,8 +49,8 @@
   root: ConfigurationRoot,
   options: LoadConfigurationOptions = {},
 ): Promise<CompiledEnvironment> {
-  const { known, fetched = new Map<string, string>() } = options;
-  const loader = new TreeLoader(source, fetched);
+  const { known, fetchedTexts = new Map<string, string>() } = options;
+  const loader = new TreeLoader(source, fetchedTexts);
   const [settingsText, accounts, keys] = await Promise.all([
     known?.root.settings === root.settings ? known.settingsText : loader.text(root.settings),
     loader.load(root.accounts, known?.accounts),
@@ -61,58 +61,62 @@
 }
 
 function parseSettingsObject(digest: string, text: string): EnvironmentSettings {
-  const parsed = settingsSchema.safeParse(checkedValue(digest, text));
+  const parsed = settingsSchema.safeParse(parseVerifiedObject(digest, text));
   if (parsed.success) return parsed.data;
-  throw new RouterError('badDocument', `the configuration object ${digest} does not parse`, {
-    cause: parsed.error,
-  });
+  throw new RouterError(
+    'badDocument',
+    `configuration object ${digest} does not match the settings schema`,
+    { cause: parsed.error },
+  );
 }
 
-/** Loads trees, with a bound on reads at once. */
+/** Loads trees with a limit on concurrent reads. */
 class TreeLoader {
   readonly #source: ConfigurationObjects;
-  readonly #fetched: Map<string, string>;
+  readonly #fetchedTexts: Map<string, string>;
   readonly #waiting: (() => void)[] = [];
-  #reading = 0;
+  #activeReads = 0;
 
-  constructor(source: ConfigurationObjects, fetched: Map<string, string>) {
+  constructor(source: ConfigurationObjects, fetchedTexts: Map<string, string>) {
     this.#source = source;
-    this.#fetched = fetched;
+    this.#fetchedTexts = fetchedTexts;
   }
 
-  /** `known` is the node that stood at this place before: the same node is not read again. */
-  async load(digest: string, known: TreeNode | undefined): Promise<TreeNode> {
-    if (known?.digest === digest) return known;
+  /** Reuses `previous`, the node at the same place in an earlier version, if it is unchanged. */
+  async load(digest: string, previous: TreeNode | undefined): Promise<TreeNode> {
+    if (previous?.digest === digest) return previous;
     const text = await this.text(digest);
     const parsed = parseNode(digest, text);
     if (parsed.kind === 'leaf') return new TreeLeaf(text);
-    const before = known?.kind === 'branch' && known.at === parsed.at ? known.children : undefined;
+    const previousChildren =
+      previous?.kind === 'branch' && previous.at === parsed.at ? previous.children : undefined;
     const children = await Promise.all(
       [...parsed.children].map(
-        async ([digit, child]) => [digit, await this.load(child, before?.get(digit))] as const,
+        async ([digit, child]) =>
+          [digit, await this.load(child, previousChildren?.get(digit))] as const,
       ),
     );
     const branch = new TreeBranch(parsed.at, new Map(children));
     if (branch.digest === digest) return branch;
-    throw new RouterError('badDocument', `the configuration object ${digest} does not parse`);
+    throw new RouterError('badDocument', `configuration object ${digest} is not a valid tree node`);
   }
 
   async text(digest: string): Promise<string> {
-    const fetched = this.#fetched.get(digest);
-    if (fetched !== undefined) return fetched;
-    if (this.#reading >= maxReadsAtOnce) {
+    const cachedText = this.#fetchedTexts.get(digest);
+    if (cachedText !== undefined) return cachedText;
+    if (this.#activeReads >= maxConcurrentReads) {
       await new Promise<void>((resolve) => {
         this.#waiting.push(resolve);
       });
     }
-    this.#reading += 1;
+    this.#activeReads += 1;
     try {
-      const text = await readRequired(this.#source, digest);
-      // A damaged text is not kept: the store may have a sound one by the next attempt.
-      if (objectDigest(text) === digest) this.#fetched.set(digest, text);
+      const text = await readRequiredObject(this.#source, digest);
+      // Damaged text is not cached: the next attempt may read an intact copy.
+      if (objectDigest(text) === digest) this.#fetchedTexts.set(digest, text);
       return text;
     } finally {
-      this.#reading -= 1;
+      this.#activeReads -= 1;
       this.#waiting.shift()?.();
     }
   }
--- a/packages/operators/src/manifest/index.ts
+++ b/packages/operators/src/manifest/index.ts
@@ -1,41 +1,42 @@
 /**
- * The object that puts an environment document in force.
+ * The manifest: the stored object that determines which version of an environment's document is in
+ * force, that is, which one instances must use.
  */
 import { RouterError } from '@acaciacrank/base';
 import { z } from 'zod';
 
-/** The format of manifests that this program writes. */
+/** The manifest format that this release reads and writes. */
 export const manifestFormat = 2;
 
-/** How many earlier versions a manifest names, to roll back to and to compare with. */
+/** Number of earlier versions kept in a manifest, for rollback and comparison. */
 export const maxPreviousVersions = 8;
 
 const digest = z.string().regex(/^[0-9a-f]{32,64}$/);
 
 const acceptanceFields = {
-  /** Rises with each acceptance; never reused. */
+  /** Increases with each acceptance and is never reused. */
   version: z.number().int().positive(),
-  /** SHA-256 of the document's text, so that trial and production can be compared. */
+  /** SHA-256 of the document's text; allows trial and production to be compared. */
   digest,
-  /** Names the act of accepting, so that a lost answer is found out by reading. */
+  /** Unique per acceptance; a writer whose response was lost finds its own acceptance by it. */
   acceptanceId: z.string().min(1).max(64),
   acceptedAtMs: z.number(),
-  /** Digests of the objects that the document begins at. */
+  /** Digests of the root objects of the compiled document. */
   root: z.strictObject({ settings: digest, accounts: digest, keys: digest }),
-  /** The version that was rolled back to; absent when a document was accepted. */
+  /** The version whose content a rollback restored; absent unless this version is a rollback. */
   rolledBackTo: z.number().int().positive().optional(),
 };
 
-/** Checks a manifest. */
+/** Schema of a manifest. */
 export const manifestSchema = z.strictObject({
   format: z.literal(manifestFormat),
   environment: z.string().min(1).max(80),
   ...acceptanceFields,
-  /** The versions before, the latest first. */
+  /** Earlier versions, latest first. */
   previous: z.array(z.strictObject(acceptanceFields)).max(maxPreviousVersions),
 });
 
-/** What is in force. */
+/** The version in force and the earlier versions that can be restored. */
 export type Manifest = z.infer<typeof manifestSchema>;
 
 /** One accepted version. */
@@ -53,12 +54,12 @@
 }
 
 /**
- * Reads a manifest.
+ * Validates a manifest.
  *
- * @param value - what the store or a peer gave
+ * @param value - the value read from the store or received from a peer
  * @returns the manifest
- * @throws RouterError `badDocument` when it is of another format or damaged; nothing may then be
- * written over it
+ * @throws RouterError `badDocument` if it is damaged or has another format; the stored manifest must
+ * then not be overwritten
  *
  * @example
  * const { version } = parseManifest(stored.value);
@@ -70,7 +71,7 @@
   const what =
     format === manifestFormat || format === undefined
       ? 'is damaged'
-      : `has format ${JSON.stringify(format)} and this program reads format ${manifestFormat}`;
+      : `has format ${JSON.stringify(format)} but this release reads format ${manifestFormat}`;
   throw new RouterError(
     'badDocument',
     `the manifest ${what}; nothing was changed. Use the release that wrote it, or restore the object`,
@@ -78,7 +79,7 @@
   );
 }
 
-/** The version that a manifest puts in force and those before, the latest first. */
+/** The version in force and the earlier versions of a manifest, latest first. */
 export function versionsOf(manifest: Manifest): AcceptedVersion[] {
   const { version, digest, acceptanceId, acceptedAtMs, root, rolledBackTo } = manifest;
   const inForce = { version, digest, acceptanceId, acceptedAtMs, root };
--- a/packages/operators/src/parseEnvironment/test.ts
+++ b/packages/operators/src/parseEnvironment/test.ts
@@ -4,7 +4,7 @@
 import { parseEnvironment } from './index.js';
 
 const digest = 'a'.repeat(64);
-const good = `environment: trial
+const validDocument = `environment: trial
 classes:
   - { name: review, firstTokenDeadlineMs: 60000, totalDeadlineMs: 600000 }
 services:
@@ -16,14 +16,14 @@
       - { id: one-2026, openingTokens: 10 }
 `;
 
-test('takes a good document and fills in defaults', (t) => {
-  const document = parseEnvironment(good);
+test('parses a valid document and fills in defaults', (t) => {
+  const document = parseEnvironment(validDocument);
   t.is(document.weighs, 'overspend');
   t.is(document.accounts[0]?.budgets[0]?.openingTokens, 10);
 });
 
-/** What is changed in the good document, and what must be said of it. */
-const faults: readonly [from: string, to: string, said: RegExp][] = [
+/** Replacements that make the valid document invalid, each with the error message it must cause. */
+const faults: readonly [from: string, to: string, expectedMessage: RegExp][] = [
   [
     'openingTokens: 10',
     'openingTokens: -1',
@@ -83,29 +83,31 @@
   ['environment: trial', 'environment: trial\nenvironment: other', /^k:2:1: .*unique/],
 ];
 
-for (const [at, [from, to, said]] of faults.entries()) {
-  test(`says where and what to write (${at + 1}: ${to.slice(0, 30)})`, (t) => {
-    const text = good.replace(from, to);
-    t.not(text, good);
+for (const [at, [from, to, expectedMessage]] of faults.entries()) {
+  test(`reports position and correction of a fault (${at + 1}: ${to.slice(0, 30)})`, (t) => {
+    const text = validDocument.replace(from, to);
+    t.not(text, validDocument);
     const error = t.throws(() => parseEnvironment(text, 'k'), { instanceOf: RouterError });
     t.is(error.kind, 'badDocument');
-    t.regex(error.message, said);
+    t.regex(error.message, expectedMessage);
   });
 }
 
-test('refuses a budget that stands twice', (t) => {
-  const twice = `${good}      - { id: one-2026, openingTokens: 5 }\n`;
-  t.throws(() => parseEnvironment(twice), { message: /11:\d+: .*budget one-2026 stands twice/ });
+test('rejects a duplicate budget', (t) => {
+  const duplicated = `${validDocument}      - { id: one-2026, openingTokens: 5 }\n`;
+  t.throws(() => parseEnvironment(duplicated), {
+    message: /11:\d+: .*budget one-2026 stands twice/,
+  });
 });
 
-test('lists a bounded number of faults', (t) => {
-  const many = Array.from({ length: 30 }, (_, at) => `wrong${at}: 1\n`).join('');
-  const error = t.throws(() => parseEnvironment(many + good));
+test('lists a limited number of faults and counts the others', (t) => {
+  const unknownFields = Array.from({ length: 30 }, (_, at) => `wrong${at}: 1\n`).join('');
+  const error = t.throws(() => parseEnvironment(unknownFields + validDocument));
   t.regex(error.message, /and 10 more faults like these$/);
 });
 
 for (const name of ['demo', 'kapiti', 'refugios']) {
-  test(`the example ${name} is good`, (t) => {
+  test(`the example document ${name} is valid`, (t) => {
     const path = new URL(`../../../../examples/${name}.yaml`, import.meta.url);
     t.is(parseEnvironment(readFileSync(path, 'utf8')).environment, name);
   });
--- a/packages/operators/src/promoteFromTrial/index.ts
+++ b/packages/operators/src/promoteFromTrial/index.ts
@@ -6,21 +6,21 @@
 import { parseEnvironment } from '../parseEnvironment/index.js';
 import { readTrialRun, trialOf, type TrialRun } from '../trialRuns/index.js';
 
-/** A promotion, and who had tried the bytes. */
+/** The result of a promotion, with the trial run that permitted it. */
 export interface Promotion extends Acceptance {
   readonly trialRun: TrialRun;
 }
 
 /**
- * Puts in force in production the bytes that trial ran.
+ * Puts a document in force in production, provided that a trial instance has used it.
  *
- * @param store - the platform's store
- * @param clock - measures the back-off
- * @param text - the document
- * @param options - what the operator last saw
- * @returns what came of it
- * @throws RouterError `notTried` when no instance of trial acted on exactly these bytes, or as
- * `acceptDocument`
+ * @param store - the platform's object store
+ * @param clock - used for timestamps and the back-off
+ * @param text - the document, as YAML
+ * @param options - the version that the operator expects to be in force
+ * @returns the accepted version and the trial run
+ * @throws RouterError `notTried` if no trial instance has used a document with exactly these bytes,
+ * or as {@link acceptDocument}
  *
  * @example
  * const { accepted } = await promoteFromTrial(store, clock, text);
@@ -38,7 +38,7 @@
   if (trialRun === undefined) {
     throw new RouterError(
       'notTried',
-      `no instance of ${trial} has acted on these bytes (digest ${digest.slice(0, 12)}); nothing was changed`,
+      `no instance of ${trial} has used this document (digest ${digest.slice(0, 12)}); nothing was changed`,
     );
   }
   return { ...(await acceptParsed(store, clock, document, digest, options)), trialRun };
--- a/packages/operators/src/readManifest/index.ts
+++ b/packages/operators/src/readManifest/index.ts
@@ -3,13 +3,13 @@
 import { manifestKey, parseManifest, type Manifest } from '../manifest/index.js';
 
 /**
- * Reads what is in force.
+ * Reads the manifest of an environment.
  *
- * @param store - the platform's store
- * @param environment - the environment
+ * @param store - the platform's object store
+ * @param environment - the environment's name
  * @returns its manifest
- * @throws RouterError `notFound` when no document was accepted yet, `badDocument` or
- * `storeUnavailable`
+ * @throws RouterError `notFound` if no document has been accepted yet, `badDocument` if the manifest
+ * cannot be read by this release, or `storeUnavailable`
  *
  * @example
  * const { version } = await readManifest(store, 'kapiti');
--- a/packages/operators/src/rollbackVersion/index.ts
+++ b/packages/operators/src/rollbackVersion/index.ts
@@ -7,21 +7,22 @@
 
 /** Options of {@link rollbackVersion}. */
 export interface RollbackVersionOptions extends Pick<AcceptRootOptions, 'random' | 'maxAttempts'> {
-  /** The version to go back to; the one before by default. */
+  /** The version to restore; the previous one by default. */
   toVersion?: number | undefined;
 }
 
 /**
- * Puts an earlier version's bytes in force again, as a new version.
+ * Puts the content of an earlier version in force again, as a new version.
  *
- * Its objects are loaded whole first, so that nothing comes into force that instances cannot read.
+ * All its objects are loaded first, so that no version comes into force that instances cannot load.
  *
- * @param store - the platform's store
- * @param clock - measures the back-off
- * @param environment - the environment
- * @param options - which version
- * @returns what came of it
- * @throws RouterError `notFound` when that version is not kept, or as {@link acceptRoot}
+ * @param store - the platform's object store
+ * @param clock - used for timestamps and the back-off
+ * @param environment - the environment's name
+ * @param options - the version to restore
+ * @returns the accepted version and the manifest now in force
+ * @throws RouterError `notFound` if that version is no longer available, or as
+ * {@link loadConfiguration} and {@link acceptRoot}
  *
  * @example
  * const { accepted } = await rollbackVersion(store, clock, 'kapiti', { toVersion: 6 });
@@ -36,10 +37,10 @@
   const toVersion = options.toVersion ?? inForce.previous[0]?.version;
   const target = inForce.previous.find(({ version }) => version === toVersion);
   if (target === undefined) {
-    const kept = inForce.previous.map(({ version }) => version).join(', ');
+    const availableVersions = inForce.previous.map(({ version }) => version).join(', ');
     throw new RouterError(
       'notFound',
-      `version ${toVersion ?? 'before'} of ${environment} cannot be rolled back to; kept are: ${kept || 'none'}`,
+      `version ${toVersion ?? '(previous)'} of ${environment} is not available for rollback; available versions: ${availableVersions || 'none'}`,
     );
   }
   await loadConfiguration(new StoreConfigurationObjects(store, environment), target.root);
--- a/packages/operators/src/trialRuns/index.ts
+++ b/packages/operators/src/trialRuns/index.ts
@@ -1,7 +1,8 @@
 /**
- * The durable record that an instance of a trial environment has acted on a document.
+ * The durable record that an instance of a trial environment has used a document.
  *
- * Promotion asks for it: a document that trial accepted but no instance took up was not tried.
+ * Promotion requires it: a document that was accepted in the trial environment but never put in force
+ * by an instance there has not been tried.
  */
 import type { ObjectStore } from '@acaciacrank/store';
 import { z } from 'zod';
@@ -13,11 +14,11 @@
   atMs: z.number(),
 });
 
-/** The first instance of trial that acted on a document. */
+/** The first trial instance that used a document, and when. */
 export type TrialRun = z.infer<typeof trialRunSchema>;
 
 /**
- * The trial environment of an environment.
+ * The name of the trial environment of a production environment.
  *
  * @example
  * trialOf('kapiti');
@@ -27,15 +28,15 @@
   return `${environment}${trialSuffix}`;
 }
 
-/** Whether an environment is one where documents are tried. */
+/** Whether an environment is a trial environment, judging by its name. */
 export function isTrial(environment: string): boolean {
   return environment.endsWith(trialSuffix);
 }
 
 /**
- * Records that an instance of trial acts on a document; the first record stands.
+ * Records that a trial instance uses a document. An existing record is not overwritten.
  *
- * @throws RouterError `storeUnavailable`; doing it again is safe
+ * @throws RouterError `storeUnavailable`; the call is idempotent and can be retried
  */
 export async function recordTrialRun(
   store: ObjectStore,
@@ -47,9 +48,9 @@
 }
 
 /**
- * Who ran a document in trial.
+ * Reads the trial run of a document.
  *
- * @returns undefined when no instance of trial has said that it acted on these bytes
+ * @returns undefined if no trial instance has recorded that it used a document with this digest
  * @throws RouterError `storeUnavailable`
  */
 export async function readTrialRun(
--- a/packages/operators/src/types.ts
+++ b/packages/operators/src/types.ts
@@ -1,28 +1,28 @@
 /**
- * Types that the modules of this package share.
+ * Types shared by the modules of this package.
  */
 import type { EnvironmentDocument } from './environmentSchema/index.js';
 
-/** One thing that is wrong in an environment document. */
+/** One validation error in an environment document. */
 export interface DocumentFault {
   readonly path: readonly PropertyKey[];
-  /** Whether the fault is in the name of the path's last field rather than in its value. */
+  /** Whether the error is in the name of the last field of the path, not in its value. */
   readonly isKey: boolean;
-  /** What is wrong, and what to write instead. */
+  /** What is wrong and how to correct it. */
   readonly message: string;
 }
 
-/** The small, common part of an environment; every instance has it whole. */
+/** The settings of an environment without its accounts; small enough to be stored as one object. */
 export type EnvironmentSettings = Pick<
   EnvironmentDocument,
   'environment' | 'weighs' | 'classes' | 'services'
 >;
 
-/** Digests of the three objects that an accepted document begins at. */
+/** Digests of the three root objects of an accepted document. */
 export interface ConfigurationRoot {
   readonly settings: string;
-  /** The tree of accounts and their budgets. */
+  /** Root of the tree of accounts and budgets. */
   readonly accounts: string;
-  /** The tree from key digest to account. */
+  /** Root of the tree that maps key digests to accounts. */
   readonly keys: string;
 }
