--- a/packages/operators/src/_lib/checkConsistency/index.ts
+++ b/packages/operators/src/_lib/checkConsistency/index.ts
@@ -54,7 +54,7 @@
       {
         path,
         isKey: false,
-        message: `${kind} ${displayName} stands twice: change or remove one of them`,
+        message: `duplicate ${kind} ${displayName}: change or remove one of them`,
       },
     ];
   });
--- a/packages/operators/src/_lib/describeIssue/index.ts
+++ b/packages/operators/src/_lib/describeIssue/index.ts
@@ -38,7 +38,7 @@
 const typeNames: Readonly<Record<string, string>> = {
   int: 'a whole number',
   number: 'a number',
-  string: 'a text',
+  string: 'a string',
   array: 'a list',
   object: 'a map',
   boolean: 'true or false',
@@ -74,9 +74,9 @@
   const suggestion = nearestName(key, known);
   const advice =
     suggestion === undefined
-      ? `take it out; known here: ${known.join(', ')}`
+      ? `remove it; known fields: ${known.join(', ')}`
       : `write ${suggestion}`;
-  return { path: [...path, key], isKey: true, message: `there is no field ${key}: ${advice}` };
+  return { path: [...path, key], isKey: true, message: `unknown field ${key}: ${advice}` };
 }
 
 function describeProblem(issue: z.core.$ZodIssue, value: unknown): string {
@@ -86,7 +86,7 @@
     return `is ${describeTypedValue(value)} and should be ${typeNames[issue.expected] ?? issue.expected}`;
   if (issue.code === 'too_small' || issue.code === 'too_big')
     return `${formatValue(value)} is out of range`;
-  return `${formatValue(value)} is not right`;
+  return `${formatValue(value)} is not valid`;
 }
 
 function remedy(path: readonly PropertyKey[]): string {
@@ -102,8 +102,8 @@
 function describeTypedValue(value: unknown): string {
   if (Array.isArray(value)) return 'a list';
   if (typeof value === 'object') return 'a map';
-  if (typeof value === 'string') return `the text ${JSON.stringify(value)}`;
-  return `the ${typeof value} ${String(value)} (a text stands in quotes)`;
+  if (typeof value === 'string') return `the string ${JSON.stringify(value)}`;
+  return `the ${typeof value} ${String(value)} (put a string in quotes)`;
 }
 
 function valueAt(value: unknown, path: readonly PropertyKey[]): unknown {
--- a/packages/operators/src/parseEnvironment/index.ts
+++ b/packages/operators/src/parseEnvironment/index.ts
@@ -45,7 +45,7 @@
 function badDocument(source: string, faults: readonly string[]): RouterError {
   const listed = faults.slice(0, maxListedFaults).map((fault) => `${source}:${fault}`);
   const unlistedCount = faults.length - listed.length;
-  if (unlistedCount > 0) listed.push(`${source}: and ${unlistedCount} more faults like these`);
+  if (unlistedCount > 0) listed.push(`${source}: and ${unlistedCount} more faults`);
   return new RouterError('badDocument', listed.join('\n'));
 }
 
--- a/packages/operators/src/parseEnvironment/test.ts
+++ b/packages/operators/src/parseEnvironment/test.ts
@@ -33,22 +33,22 @@
   [
     ' openingTokens: 10',
     ' openingTokens: "10"',
-    /^k:10:40: .*is the text "10" and should be a number/,
+    /^k:10:40: .*is the string "10" and should be a number/,
   ],
   [
     'openingTokens',
     'openingTokns',
-    /^k:10:25: .*there is no field openingTokns: write openingTokens$/m,
+    /^k:10:25: .*unknown field openingTokns: write openingTokens$/m,
   ],
   [
     'keyDigests',
     'key_digests',
-    /^k:8:5: accounts\.0\.key_digests: there is no field key_digests: write keyDigests$/m,
+    /^k:8:5: accounts\.0\.key_digests: unknown field key_digests: write keyDigests$/m,
   ],
   [
     'environment:',
     'colour: red\nenvironment:',
-    /^k:1:1: colour: there is no field colour: take it out; known here: environment, /m,
+    /^k:1:1: colour: unknown field colour: remove it; known fields: environment, /m,
   ],
   [
     ', checksFencing: true',
@@ -58,27 +58,35 @@
   [
     'kind: engines',
     'kind: engine',
-    /^k:5:\d+: services\.0\.kind: "engine" is not right: write engines .* or plain/m,
+    /^k:5:\d+: services\.0\.kind: "engine" is not valid: write engines .* or plain/m,
   ],
   [
     `[${digest}]`,
     '[secret]',
-    /^k:8:18: accounts\.0\.keyDigests\.0: "secret" is not right: write one or two SHA-256/m,
+    /^k:8:18: accounts\.0\.keyDigests\.0: "secret" is not valid: write one or two SHA-256/m,
   ],
   [
     `[${digest}]`,
     `[${digest}, ${'b'.repeat(64)}, ${'c'.repeat(64)}]`,
     /^k:8:17: .*a list of 3 is out of range: write one or two/,
   ],
-  [`[${digest}]`, `[${digest}, ${digest}]`, /^k:8:84: .*key digest aaaaaaaa… stands twice/],
+  [
+    `[${digest}]`,
+    `[${digest}, ${digest}]`,
+    /^k:8:84: .*duplicate key digest aaaaaaaa…: change or remove one/,
+  ],
   [
     'id: one\n',
     'id: 2026\n',
-    /^k:7:9: .*is the number 2026 \(a text stands in quotes\) and should be a text/,
+    /^k:7:9: .*is the number 2026 \(put a string in quotes\) and should be a string/,
   ],
   ['60000,', '700000,', /^k:3:43: .*write at most 600000, or raise totalDeadlineMs/],
   ['environment: trial', 'environment: kapiti.trial', /^k:1:14: environment: .*write kapiti$/],
-  ['models: [small]', 'models: [small, small]', /^k:5:51: .*model small stands twice/],
+  [
+    'models: [small]',
+    'models: [small, small]',
+    /^k:5:51: .*duplicate model small: change or remove one/,
+  ],
   ['  - id: one', '  - [id: one', /^k:\d+:\d+: /],
   ['environment: trial', 'environment: trial\nenvironment: other', /^k:2:1: .*unique/],
 ];
@@ -96,14 +104,14 @@
 test('rejects a duplicate budget', (t) => {
   const duplicated = `${validDocument}      - { id: one-2026, openingTokens: 5 }\n`;
   t.throws(() => parseEnvironment(duplicated), {
-    message: /11:\d+: .*budget one-2026 stands twice/,
+    message: /11:\d+: .*duplicate budget one-2026: change or remove one/,
   });
 });
 
 test('lists a limited number of faults and counts the others', (t) => {
   const unknownFields = Array.from({ length: 30 }, (_, at) => `wrong${at}: 1\n`).join('');
   const error = t.throws(() => parseEnvironment(unknownFields + validDocument));
-  t.regex(error.message, /and 10 more faults like these$/);
+  t.regex(error.message, /and 10 more faults$/);
 });
 
 for (const name of ['demo', 'kapiti', 'refugios']) {
