--- a/packages/ctl/src/_lib/describeAcceptance/index.ts
+++ b/packages/ctl/src/_lib/describeAcceptance/index.ts
@@ -3,7 +3,7 @@
 
 /** Says what came of an acceptance, first line first. */
 export function describeAcceptance(environment: string, acceptance: Acceptance): string[] {
-  const { outcome, accepted, manifest, isFoundOut } = acceptance;
+  const { outcome, accepted, manifest, isConfirmedByRead: isFoundOut } = acceptance;
   const { version, digest, acceptedAtMs } = accepted;
   const bytes = `digest ${digest.slice(0, 12)}`;
   const lines = [
--- a/packages/ctl/src/runDiff/index.ts
+++ b/packages/ctl/src/runDiff/index.ts
@@ -6,10 +6,10 @@
   environmentStore,
   MemoryConfigurationObjects,
   objectsOf,
-  OrderedConfigurationObjects,
+  FailoverConfigurationObjects,
   readTrialRun,
   StoreConfigurationObjects,
-  trialOf,
+  trialEnvironmentOf,
   type ConfigurationChange,
   type EnvironmentDocument,
 } from '@acaciacrank/operators';
@@ -29,7 +29,7 @@
   const { environment } = document;
   const inForce = await readInForce(context, environment);
   const changes = await diffDocument(context, document, environment);
-  const trial = trialOf(environment);
+  const trial = trialEnvironmentOf(environment);
   const digest = digestText(text);
   const trialRun = await readTrialRun(environmentStore(context.store, trial), trial, digest);
   const tried =
@@ -61,7 +61,7 @@
     new MemoryConfigurationObjects(texts),
     new StoreConfigurationObjects(store, environment),
   ];
-  const source = new OrderedConfigurationObjects({ sources, clock: context.clock });
+  const source = new FailoverConfigurationObjects({ sources, clock: context.clock });
   return diffConfigurations(source, inForce?.root, compiled.root);
 }
 
--- a/packages/ctl/src/runStatus/index.ts
+++ b/packages/ctl/src/runStatus/index.ts
@@ -1,6 +1,6 @@
 import { describeError } from '@acaciacrank/base';
 import { readBudget, type BudgetStatus } from '@acaciacrank/ledger';
-import { isTrial, trialOf, type Manifest } from '@acaciacrank/operators';
+import { isTrialEnvironment, trialEnvironmentOf, type Manifest } from '@acaciacrank/operators';
 import { askInstances } from '../askInstances/index.js';
 import { formatTime } from '../_lib/formatTime/index.js';
 import { readEnvironment, readInForce } from '../_lib/readEnvironment/index.js';
@@ -26,7 +26,7 @@
   ]);
   const manifest = accepted.value;
   const spread = describeSpread(view, manifest?.version ?? 0);
-  const trial = isTrial(environment)
+  const trial = isTrialEnvironment(environment)
     ? undefined
     : await describeTrial(context, environment, manifest);
   const budgets = await describeBudgets(context, environment, manifest);
@@ -90,7 +90,9 @@
   environment: string,
   manifest: Manifest | undefined,
 ): Promise<string> {
-  const { value, problem } = await known(() => readInForce(context, trialOf(environment)));
+  const { value, problem } = await known(() =>
+    readInForce(context, trialEnvironmentOf(environment)),
+  );
   if (problem !== undefined) return `What trial has is UNKNOWN: ${problem}.`;
   if (value === undefined) return 'Trial has no document.';
   const same = value.digest === manifest?.digest ? 'the same bytes' : 'OTHER bytes than production';
--- a/packages/ctl/src/runTry/index.ts
+++ b/packages/ctl/src/runTry/index.ts
@@ -3,7 +3,7 @@
   acceptDocument,
   environmentStore,
   readTrialRun,
-  trialOf,
+  trialEnvironmentOf,
   type TrialRun,
 } from '@acaciacrank/operators';
 import type { ObjectStore } from '@acaciacrank/store';
@@ -29,7 +29,7 @@
   options: { readonly expectedVersion?: number | undefined } = {},
 ): Promise<CommandResult> {
   const { text, document } = readDocumentFile(path);
-  const trial = trialOf(document.environment);
+  const trial = trialEnvironmentOf(document.environment);
   const store = environmentStore(context.store, trial);
   const acceptance = await acceptDocument(store, context.clock, text, {
     environment: trial,
--- a/packages/operators/src/ConfigurationObjects/index.ts
+++ b/packages/operators/src/ConfigurationObjects/index.ts
@@ -71,8 +71,8 @@
 const initialTimeoutMs = 1_500;
 const maxTimeoutMs = 12_000;
 
-/** Options of {@link OrderedConfigurationObjects}. */
-export interface OrderedConfigurationObjectsOptions {
+/** Options of {@link FailoverConfigurationObjects}. */
+export interface FailoverConfigurationObjectsOptions {
   /** The sources, in order of preference. */
   sources: readonly ConfigurationObjects[];
   clock: Clock;
@@ -92,12 +92,12 @@
  * working store fail on every read, so the timeout doubles with each failure and is reset by the
  * first success.
  */
-export class OrderedConfigurationObjects extends ConfigurationObjects {
-  readonly #options: OrderedConfigurationObjectsOptions;
+export class FailoverConfigurationObjects extends ConfigurationObjects {
+  readonly #options: FailoverConfigurationObjectsOptions;
   readonly #deprioritizedUntilMs = new Map<ConfigurationObjects, number>();
   readonly #timeoutMs = new Map<ConfigurationObjects, number>();
 
-  constructor(options: OrderedConfigurationObjectsOptions) {
+  constructor(options: FailoverConfigurationObjectsOptions) {
     super();
     this.#options = options;
   }
--- a/packages/operators/src/ConfigurationWatcher/index.ts
+++ b/packages/operators/src/ConfigurationWatcher/index.ts
@@ -12,7 +12,7 @@
 import type { ObjectStore, StoredObject } from '@acaciacrank/store';
 import type { CompiledEnvironment } from '../compileEnvironment/index.js';
 import {
-  OrderedConfigurationObjects,
+  FailoverConfigurationObjects,
   StoreConfigurationObjects,
   type ConfigurationObjects,
 } from '../ConfigurationObjects/index.js';
@@ -20,7 +20,7 @@
 import { EnvironmentIndex } from '../EnvironmentIndex/index.js';
 import { loadConfiguration } from '../loadConfiguration/index.js';
 import { manifestKey, parseManifest, type Manifest } from '../manifest/index.js';
-import { isTrial, recordTrialRun } from '../trialRuns/index.js';
+import { isTrialEnvironment, recordTrialRun } from '../trialRuns/index.js';
 
 /** The configuration version that this instance uses. */
 export interface ConfigurationInForce {
@@ -122,7 +122,7 @@
     const { store, clock, environment, peers } = options;
     const stored = new StoreConfigurationObjects(store, environment);
     const sources = peers === undefined ? [stored] : [stored, peers];
-    this.#objects = new OrderedConfigurationObjects({ sources, clock });
+    this.#objects = new FailoverConfigurationObjects({ sources, clock });
   }
 
   /** The current failure to read, load or record a version; undefined if there is none. */
@@ -302,7 +302,7 @@
         const known = this.inForce.value?.compiled;
         const fetchedTexts = this.#fetchedTexts;
         const compiled = await loadConfiguration(this.#objects, manifest.root, {
-          known,
+          reuseFrom: known,
           fetchedTexts,
         });
         this.#fetchedTexts.clear();
@@ -328,7 +328,7 @@
   async #recordTrialRun(): Promise<void> {
     const { store, clock, environment, instanceId } = this.#options;
     const { value } = this.inForce;
-    if (!isTrial(environment) || value === undefined) return;
+    if (!isTrialEnvironment(environment) || value === undefined) return;
     if (this.#recordedDigest === value.digest) return;
     const run = {
       instanceId: instanceId ?? 'unnamed',
--- a/packages/operators/src/acceptDocument/index.ts
+++ b/packages/operators/src/acceptDocument/index.ts
@@ -40,7 +40,7 @@
   text: string,
   options: AcceptDocumentOptions = {},
 ): Promise<Acceptance> {
-  return acceptParsed(store, clock, parseEnvironment(text), digestText(text), options);
+  return acceptParsedDocument(store, clock, parseEnvironment(text), digestText(text), options);
 }
 
 /**
@@ -49,7 +49,7 @@
  * @param digest - SHA-256 of the document's text
  * @throws RouterError as {@link acceptDocument}
  */
-export async function acceptParsed(
+export async function acceptParsedDocument(
   store: ObjectStore,
   clock: Clock,
   document: EnvironmentDocument,
--- a/packages/operators/src/acceptRoot/index.ts
+++ b/packages/operators/src/acceptRoot/index.ts
@@ -34,7 +34,7 @@
   /** The manifest now in force; its version is higher if another writer has followed. */
   readonly manifest: Manifest;
   /** Whether the response to the write was lost and the outcome was determined by a later read. */
-  readonly isFoundOut: boolean;
+  readonly isConfirmedByRead: boolean;
 }
 
 /** Options of {@link acceptRoot}. */
@@ -95,7 +95,7 @@
       const stored = await store.read(key);
       const inForce = stored === undefined ? undefined : parseManifest(stored.value);
       const found = findAcceptance(inForce, acceptanceId);
-      if (found !== undefined) return { ...found, outcome: 'accepted', isFoundOut: true };
+      if (found !== undefined) return { ...found, outcome: 'accepted', isConfirmedByRead: true };
       if (inForce?.digest === request.digest) return unchanged(inForce);
       const version = inForce?.version ?? 0;
       expectedVersion ??= version;
@@ -109,7 +109,7 @@
       const result = await store.write(key, manifest, toWriteCondition(stored));
       if (result.outcome === 'written') {
         const [accepted] = versionsOf(manifest) as [AcceptedVersion];
-        return { outcome: 'accepted', accepted, manifest, isFoundOut: false };
+        return { outcome: 'accepted', accepted, manifest, isConfirmedByRead: false };
       }
     } catch (error) {
       if (!(error instanceof RouterError) || error.kind !== 'storeUnavailable') throw error;
@@ -129,7 +129,7 @@
 
 function unchanged(inForce: Manifest): Acceptance {
   const [accepted] = versionsOf(inForce) as [AcceptedVersion];
-  return { outcome: 'unchanged', accepted, manifest: inForce, isFoundOut: false };
+  return { outcome: 'unchanged', accepted, manifest: inForce, isConfirmedByRead: false };
 }
 
 function findAcceptance(inForce: Manifest | undefined, acceptanceId: string) {
--- a/packages/operators/src/environmentStore/index.ts
+++ b/packages/operators/src/environmentStore/index.ts
@@ -4,7 +4,7 @@
   type ListedInstance,
   type ObjectStore,
 } from '@acaciacrank/store';
-import { isTrial } from '../trialRuns/index.js';
+import { isTrialEnvironment } from '../trialRuns/index.js';
 
 /**
  * Returns the view of the platform's object store that an environment uses.
@@ -20,7 +20,9 @@
  * const store = environmentStore(platformStore, settings.environment);
  */
 export function environmentStore(store: ObjectStore, environment: string): ObjectStore {
-  return isTrial(environment) ? new PrefixedObjectStore(store, `${environment}/`) : store;
+  return isTrialEnvironment(environment)
+    ? new PrefixedObjectStore(store, `${environment}/`)
+    : store;
 }
 
 /**
--- a/packages/operators/src/loadConfiguration/index.ts
+++ b/packages/operators/src/loadConfiguration/index.ts
@@ -26,7 +26,7 @@
 /** Options of {@link loadConfiguration}. */
 export interface LoadConfigurationOptions {
   /** An earlier version whose objects are reused instead of being read again. */
-  known?: CompiledEnvironment | undefined;
+  reuseFrom?: CompiledEnvironment | undefined;
   /** Collects object texts by digest; pass the same map again to resume after a failed attempt. */
   fetchedTexts?: Map<string, string>;
 }
@@ -42,14 +42,14 @@
  * be read by this release, `storeUnavailable` if the source does not answer
  *
  * @example
- * const compiled = await loadConfiguration(objects, manifest.root, { known: inForce.compiled });
+ * const compiled = await loadConfiguration(objects, manifest.root, { reuseFrom: inForce.compiled });
  */
 export async function loadConfiguration(
   source: ConfigurationObjects,
   root: ConfigurationRoot,
   options: LoadConfigurationOptions = {},
 ): Promise<CompiledEnvironment> {
-  const { known, fetchedTexts = new Map<string, string>() } = options;
+  const { reuseFrom: known, fetchedTexts = new Map<string, string>() } = options;
   const loader = new TreeLoader(source, fetchedTexts);
   const [settingsText, accounts, keys] = await Promise.all([
     known?.root.settings === root.settings ? known.settingsText : loader.text(root.settings),
--- a/packages/operators/src/promoteFromTrial/index.ts
+++ b/packages/operators/src/promoteFromTrial/index.ts
@@ -1,10 +1,10 @@
 import { digestText, RouterError, type Clock } from '@acaciacrank/base';
 import type { ObjectStore } from '@acaciacrank/store';
-import { acceptParsed, type AcceptDocumentOptions } from '../acceptDocument/index.js';
+import { acceptParsedDocument, type AcceptDocumentOptions } from '../acceptDocument/index.js';
 import type { Acceptance } from '../acceptRoot/index.js';
 import { environmentStore } from '../environmentStore/index.js';
 import { parseEnvironment } from '../parseEnvironment/index.js';
-import { readTrialRun, trialOf, type TrialRun } from '../trialRuns/index.js';
+import { readTrialRun, trialEnvironmentOf, type TrialRun } from '../trialRuns/index.js';
 
 /** The result of a promotion, with the trial run that permitted it. */
 export interface Promotion extends Acceptance {
@@ -33,7 +33,7 @@
 ): Promise<Promotion> {
   const document = parseEnvironment(text);
   const digest = digestText(text);
-  const trial = trialOf(document.environment);
+  const trial = trialEnvironmentOf(document.environment);
   const trialRun = await readTrialRun(environmentStore(store, trial), trial, digest);
   if (trialRun === undefined) {
     throw new RouterError(
@@ -41,5 +41,5 @@
       `no instance of ${trial} has used this document (digest ${digest.slice(0, 12)}); nothing was changed`,
     );
   }
-  return { ...(await acceptParsed(store, clock, document, digest, options)), trialRun };
+  return { ...(await acceptParsedDocument(store, clock, document, digest, options)), trialRun };
 }
--- a/packages/operators/src/trialRuns/index.ts
+++ b/packages/operators/src/trialRuns/index.ts
@@ -21,15 +21,15 @@
  * The name of the trial environment of a production environment.
  *
  * @example
- * trialOf('kapiti');
+ * trialEnvironmentOf('kapiti');
  * //=> 'kapiti.trial'
  */
-export function trialOf(environment: string): string {
+export function trialEnvironmentOf(environment: string): string {
   return `${environment}${trialSuffix}`;
 }
 
 /** Whether an environment is a trial environment, judging by its name. */
-export function isTrial(environment: string): boolean {
+export function isTrialEnvironment(environment: string): boolean {
   return environment.endsWith(trialSuffix);
 }
 
--- a/packages/standins/src/benches/configuration/index.ts
+++ b/packages/standins/src/benches/configuration/index.ts
@@ -53,7 +53,7 @@
     const changed = compileEnvironment({ ...document, accounts });
     for (const { digest, text } of objectsOf(changed)) texts.set(digest, text);
     const changeStartMs = clock.monotonicMs();
-    inForce = await loadConfiguration(source, changed.root, { known: inForce });
+    inForce = await loadConfiguration(source, changed.root, { reuseFrom: inForce });
     changeLoadMs += (clock.monotonicMs() - changeStartMs) / changes;
   }
   const index = new EnvironmentIndex(inForce);
--- a/packages/standins/src/configuration/acceptance/test.ts
+++ b/packages/standins/src/configuration/acceptance/test.ts
@@ -8,7 +8,7 @@
   promoteFromTrial,
   readManifest,
   rollbackVersion,
-  trialOf,
+  trialEnvironmentOf,
   type Acceptance,
 } from '@acaciacrank/operators';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
@@ -74,7 +74,7 @@
   await accept(store, 10);
   store.faults.afterLostAnswer = () => undefined;
   const acceptance = await clock.runUntil(accept(store, 20));
-  t.true(acceptance.isFoundOut);
+  t.true(acceptance.isConfirmedByRead);
   t.is(acceptance.accepted.version, 2);
   t.is((await readManifest(store, 'kapiti')).version, 2);
 });
@@ -169,7 +169,7 @@
 test('bytes that no trial instance acted on are not promoted', async (t) => {
   const { clock, open } = setUp();
   const store = open();
-  const trial = trialOf('kapiti');
+  const trial = trialEnvironmentOf('kapiti');
   const trialStore = environmentStore(store, trial);
   const promote = (mark: number) =>
     clock.runUntil(promoteFromTrial(store, clock, markedText(mark)));
--- a/packages/standins/src/configuration/garbage/test.ts
+++ b/packages/standins/src/configuration/garbage/test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import { createRandom, digestText, ManualClock } from '@acaciacrank/base';
 import {
-  acceptParsed,
+  acceptParsedDocument,
   ConfigurationWatcher,
   diffConfigurations,
   loadConfiguration,
@@ -49,7 +49,7 @@
   const store = open();
   const accept = (document: EnvironmentDocument) =>
     clock.runUntil(
-      acceptParsed(store, clock, document, digestText(JSON.stringify(document)), {
+      acceptParsedDocument(store, clock, document, digestText(JSON.stringify(document)), {
         random: createRandom(1),
       }),
     );
@@ -90,10 +90,10 @@
   const colleague = open();
   let takenUp: Promise<Acceptance> | undefined;
   colleague.faults.beforeRemove = async () => {
-    takenUp ??= acceptParsed(store, clock, first, digestText('first again'));
+    takenUp ??= acceptParsedDocument(store, clock, first, digestText('first again'));
     await takenUp;
   };
-  await acceptParsed(colleague, clock, changed(first, 1, 7), digestText('colleague'));
+  await acceptParsedDocument(colleague, clock, changed(first, 1, 7), digestText('colleague'));
   const accepted = await takenUp;
   t.is(accepted?.outcome, 'accepted');
   const source = new StoreConfigurationObjects(store, 'kapiti');
@@ -118,10 +118,10 @@
   };
   let underWay: Promise<Acceptance> | undefined;
   colleague.faults.beforeList = async () => {
-    underWay = acceptParsed(store, clock, changed(first, 2, 9), digestText('under way'));
+    underWay = acceptParsedDocument(store, clock, changed(first, 2, 9), digestText('under way'));
     await isPrepared.isOpen;
   };
-  await acceptParsed(colleague, clock, changed(first, 1, 7), digestText('colleague'));
+  await acceptParsedDocument(colleague, clock, changed(first, 1, 7), digestText('colleague'));
   isCollected.open();
   t.is((await underWay)?.accepted.version, 3);
   const source = new StoreConfigurationObjects(store, 'kapiti');
--- a/packages/standins/src/configuration/watcher/test.ts
+++ b/packages/standins/src/configuration/watcher/test.ts
@@ -2,7 +2,7 @@
 import { digestText, ManualClock, type InstanceId } from '@acaciacrank/base';
 import {
   acceptDocument,
-  acceptParsed,
+  acceptParsedDocument,
   ConfigurationObjects,
   ConfigurationWatcher,
   objectKey,
@@ -163,7 +163,7 @@
   const { clock, open, operator, watch } = setUp();
   const document = makeDocument({ accounts: 400, budgetsPerAccount: 100 });
   const accept = (digest: string) =>
-    clock.runUntil(acceptParsed(operator, clock, document, digestText(digest)));
+    clock.runUntil(acceptParsedDocument(operator, clock, document, digestText(digest)));
   await accept('first');
   const informed = watch(open());
   const store = open();
--- a/packages/standins/src/experiments/configuration-size/index.ts
+++ b/packages/standins/src/experiments/configuration-size/index.ts
@@ -5,7 +5,7 @@
  */
 import { createRandom, digestText, ManualClock } from '@acaciacrank/base';
 import {
-  acceptParsed,
+  acceptParsedDocument,
   ConfigurationWatcher,
   maxLeafBytes,
   type EnvironmentDocument,
@@ -85,7 +85,7 @@
   let document = makeDocument(size);
   const options = { leafBytes, random: createRandom(seed) };
   const accept = (name: string) =>
-    acceptParsed(operator, clock, document, digestText(name), options);
+    acceptParsedDocument(operator, clock, document, digestText(name), options);
   await clock.runUntil(accept('first'));
   const watcher = new ConfigurationWatcher({ store: instance, clock, environment: 'kapiti' });
   await clock.runUntil(watcher.refresh());
