--- a/packages/fleet/src/ConfigurationSpread/index.ts
+++ b/packages/fleet/src/ConfigurationSpread/index.ts
@@ -4,19 +4,21 @@
 import type { Membership } from '../Membership/index.js';
 import type { FleetMessage } from '../types.js';
 
-/** The configuration of this instance, as its spread needs it. */
+/** Access to the configuration of this instance. */
 export interface SpreadConfiguration {
-  /** The version in force; 0 for none. */
+  /** Returns the version in force; 0 for none. */
   readonly version: () => number;
-  /** The manifest in force, to hand to peers; undefined for none. */
+  /** Returns the manifest in force, which peers fetch; undefined for none. */
   readonly manifest: () => unknown;
   /**
-   * Acts on a manifest when it is newer than the one in force.
+   * Applies a manifest from a peer if it is newer than the one in force.
    *
    * @returns whether it came into force
    */
   readonly offer: (manifest: unknown) => boolean | Promise<boolean>;
-  /** An object of the configuration in force, by digest; undefined when it is not known here. */
+  /**
+   * Returns an object of the configuration in force by its digest; undefined when there is none.
+   */
   readonly objectText: (digest: string) => string | undefined;
 }
 
@@ -28,34 +30,36 @@
   membership: Membership;
   metrics: Metrics;
   configuration: SpreadConfiguration;
-  /** How long a peer has to answer, in milliseconds. */
+  /** Timeout for each request to a peer, in milliseconds; 1,000 by default. */
   timeoutMs?: number;
-  /** Whether newer versions are asked for now; always by default. */
+  /** Whether newer versions are to be fetched from peers now; always by default. */
   isWanted?: () => boolean;
 }
 
 /**
- * Spreads configuration versions from instance to instance, for those that the store does not reach.
+ * Distributes configuration versions between instances by gossip, for instances that cannot reach
+ * the store.
  *
- * A new version is told to the neighbours at once, who fetch it and tell theirs. Besides, each
- * heartbeat names the sender's version, and who is behind asks for what is newer: so a telling that
- * was lost, a healed partition and an instance that just started all end with the highest version.
- * Versions only rise, so it does no harm to hear of one twice or in any order.
+ * A new version is announced to the neighbours at once, which fetch it and announce it to theirs.
+ * In addition, each heartbeat contains the sender's version, and a receiver with a lower one
+ * fetches the newer version. All instances thus converge on the highest version, also after a lost
+ * announcement, a healed partition or a start. Versions only rise, so announcements may be repeated
+ * or reordered.
  */
 export class ConfigurationSpread implements Disposable {
   readonly #options: ConfigurationSpreadOptions;
-  readonly #receiving: Disposable[];
-  /** Peers that were heard to have a higher version, the newest word last. */
-  readonly #ahead = new Map<InstanceId, number>();
-  #fetching: Promise<void> | undefined;
+  readonly #subscriptions: Disposable[];
+  /** Peers that reported a higher version than the one in force here, the latest report last. */
+  readonly #newerVersions = new Map<InstanceId, number>();
+  #fetchTask: Promise<void> | undefined;
   #isClosed = false;
 
   constructor(options: ConfigurationSpreadOptions) {
     this.#options = options;
     const { links, questions, configuration } = options;
-    this.#receiving = [
+    this.#subscriptions = [
       links.receive((message, from) => {
-        this.#hear(message, from);
+        this.#handleMessage(message, from);
       }),
       questions.answer('manifest', ({ aboveVersion }) => {
         const isNewer = configuration.version() > aboveVersion;
@@ -68,7 +72,7 @@
     ];
   }
 
-  /** Tells the neighbours that a version has come into force here. */
+  /** Announces to the neighbours that a version has come into force here. */
   announce(version: number): void {
     const { links, membership } = this.#options;
     for (const id of membership.neighbours) {
@@ -78,19 +82,20 @@
   }
 
   /**
-   * Reads an object of a newer configuration from a peer that has it.
+   * Reads an object of a newer configuration from a peer.
    *
-   * @param digest - names the object; the text must be checked against it
-   * @returns undefined when the peers that were asked do not have it
-   * @throws RouterError `peerUnavailable` when none of them answered
+   * @param digest - identifies the object; the caller must verify the text against it
+   * @returns the text; undefined when the peers that were asked do not have the object
+   * @throws RouterError `peerUnavailable` when none of them replied, or no peer is known to have a
+   *   newer configuration
    */
   async readObject(digest: string): Promise<string | undefined> {
     const { questions, timeoutMs = 1_000 } = this.#options;
     let lastError: unknown = new RouterError(
       'peerUnavailable',
-      'no peer has a newer configuration',
+      'no peer is known to have a newer configuration',
     );
-    for (const id of [...this.#ahead.keys()].reverse().slice(0, maxPeersAsked)) {
+    for (const id of [...this.#newerVersions.keys()].reverse().slice(0, maxPeersAsked)) {
       try {
         const question = { kind: 'configurationObject', digest } as const;
         const { text } = await questions.ask(id, question, { timeoutMs });
@@ -106,30 +111,30 @@
 
   [Symbol.dispose](): void {
     this.#isClosed = true;
-    for (const receiving of this.#receiving) receiving[Symbol.dispose]();
+    for (const subscription of this.#subscriptions) subscription[Symbol.dispose]();
   }
 
-  #hear(message: FleetMessage, from: InstanceId): void {
-    const version = versionIn(message);
+  #handleMessage(message: FleetMessage, from: InstanceId): void {
+    const version = announcedVersion(message);
     if (version === undefined) return;
-    this.#ahead.delete(from);
+    this.#newerVersions.delete(from);
     if (version <= this.#options.configuration.version()) return;
-    this.#ahead.set(from, version);
+    this.#newerVersions.set(from, version);
     if (this.#options.isWanted?.() === false) return;
-    this.#fetching ??= this.#fetch().finally(() => {
-      this.#fetching = undefined;
+    this.#fetchTask ??= this.#fetchNewer().finally(() => {
+      this.#fetchTask = undefined;
     });
   }
 
-  /** Fetches from whoever is ahead until nobody is, or all of them were asked. */
-  async #fetch(): Promise<void> {
-    const asked = new Set<InstanceId>();
+  /** Fetches from peers with a higher version until there are none left, or all have been asked. */
+  async #fetchNewer(): Promise<void> {
+    const askedIds = new Set<InstanceId>();
     for (;;) {
-      const next = [...this.#ahead.keys()].reverse().find((id) => !asked.has(id));
-      if (next === undefined || this.#isClosed) return;
-      asked.add(next);
-      await this.#fetchFrom(next);
-      this.#forgetOvertaken();
+      const peerId = [...this.#newerVersions.keys()].reverse().find((id) => !askedIds.has(id));
+      if (peerId === undefined || this.#isClosed) return;
+      askedIds.add(peerId);
+      await this.#fetchFrom(peerId);
+      this.#removeOvertaken();
     }
   }
 
@@ -142,21 +147,22 @@
       const isInForce = await configuration.offer(manifest);
       metrics.count(isInForce ? 'configurationsFromPeers' : 'configurationsFromPeersRefused');
     } catch {
-      // The peer is named again by its next heartbeat, if it lives.
+      // If the peer is alive, its next heartbeat starts another fetch.
       metrics.count('configurationFetchesFailed');
     }
   }
 
-  #forgetOvertaken(): void {
+  #removeOvertaken(): void {
     const version = this.#options.configuration.version();
-    for (const [id, theirs] of this.#ahead) if (theirs <= version) this.#ahead.delete(id);
+    for (const [id, peerVersion] of this.#newerVersions)
+      if (peerVersion <= version) this.#newerVersions.delete(id);
   }
 }
 
-/** How many peers are asked for one object. */
+/** Maximum number of peers that are asked for one object. */
 const maxPeersAsked = 3;
 
-function versionIn(message: FleetMessage): number | undefined {
+function announcedVersion(message: FleetMessage): number | undefined {
   if (message.kind === 'configurationChanged') return message.version;
   if (message.kind === 'heartbeat' || message.kind === 'heartbeatAck' || message.kind === 'news') {
     return message.configurationVersion;
--- a/packages/fleet/src/FleetLinks/index.ts
+++ b/packages/fleet/src/FleetLinks/index.ts
@@ -1,7 +1,10 @@
 import type { InstanceId } from '@acaciacrank/base';
 import type { FleetMessage, FleetMessageHandler, FleetPeer } from '../types.js';
 
-/** Links between instances. Messages may be lost, and a link may fall silent for good. */
+/**
+ * Message transport between instances. Messages may be lost, and a link may stop delivering for
+ * good.
+ */
 export abstract class FleetLinks {
   readonly #handlers = new Set<FleetMessageHandler>();
 
@@ -10,22 +13,21 @@
    * or whose queue is full, is dropped and counted.
    *
    * @param to - the peer
-   * @param message - what to say
    */
   abstract send(to: InstanceId, message: FleetMessage): void;
 
   /**
-   * Says where peers listen; links to peers that are not named are closed.
+   * Sets the addresses of all peers, and closes the links to peers that are no longer in the list.
    *
-   * @param peers - every peer that may be spoken to
+   * @param peers - all peers that messages may be sent to
    */
   abstract setPeers(peers: readonly FleetPeer[]): void;
 
   /**
-   * Receives what peers send.
+   * Subscribes to the messages of peers.
    *
-   * @param handler - called once a message; must not throw
-   * @returns dispose of it to receive no more
+   * @param handler - called for each message; must not throw
+   * @returns the subscription; dispose of it to unsubscribe
    */
   receive(handler: FleetMessageHandler): Disposable {
     this.#handlers.add(handler);
@@ -36,7 +38,7 @@
     };
   }
 
-  /** Hands a message that arrived to all receivers. */
+  /** Passes a received message to all subscribers. */
   protected deliver(message: FleetMessage, from: InstanceId): void {
     for (const handler of this.#handlers) handler(message, from);
   }
--- a/packages/fleet/src/FleetQuestions/index.ts
+++ b/packages/fleet/src/FleetQuestions/index.ts
@@ -6,25 +6,25 @@
   type InstanceId,
 } from '@acaciacrank/base';
 import type { FleetLinks } from '../FleetLinks/index.js';
-import type { FleetMessageOf, FleetQuestion, FleetReply, FleetReplyOf } from '../types.js';
+import type { FleetMessageOf, FleetRequest, FleetReply, FleetReplyOf } from '../types.js';
 
 /** Options of {@link FleetQuestions}. */
-export interface FleetQuestionsOptions {
+export interface FleetRpcOptions {
   links: FleetLinks;
   clock: Clock;
-  /** How long an answer is waited for, in milliseconds. */
+  /** Default timeout for a reply, in milliseconds; 1,000 by default. */
   timeoutMs?: number;
 }
 
 /** Options of {@link FleetQuestions.ask}. */
 export interface AskOptions {
-  /** How long the answer is waited for, in milliseconds. */
+  /** Timeout for the reply, in milliseconds. */
   timeoutMs?: number;
 }
 
-type Answerer = (question: FleetQuestion, from: InstanceId) => FleetReply | Promise<FleetReply>;
+type RequestHandler = (request: FleetRequest, from: InstanceId) => FleetReply | Promise<FleetReply>;
 
-interface Waiting {
+interface PendingRequest {
   readonly to: InstanceId;
   readonly finish: (reply: FleetReply) => void;
 }
@@ -32,122 +32,133 @@
 const unreachable: ErrorKind = 'peerUnavailable';
 
 /**
- * Questions to peers, and answers to theirs, over links that lose messages.
+ * Remote procedure calls between instances, over links that may lose messages.
  *
- * A question without an answer in time fails; the peer may still have acted on it, so what is asked
- * must be idempotent.
+ * A request without a reply within the timeout fails, although the peer may have executed it.
+ * Requests must therefore be idempotent.
  */
 export class FleetQuestions implements Disposable {
-  readonly #options: FleetQuestionsOptions;
-  readonly #answerers = new Map<FleetQuestion['kind'], Answerer>();
-  readonly #waiting = new Map<number, Waiting>();
-  readonly #receiving: Disposable;
-  #count = 0;
+  readonly #options: FleetRpcOptions;
+  readonly #handlers = new Map<FleetRequest['kind'], RequestHandler>();
+  readonly #pendingRequests = new Map<number, PendingRequest>();
+  readonly #subscription: Disposable;
+  #lastAskId = 0;
 
-  constructor(options: FleetQuestionsOptions) {
+  constructor(options: FleetRpcOptions) {
     this.#options = options;
-    this.#receiving = options.links.receive((message, from) => {
-      if (message.kind === 'ask') void this.#answer(message, from);
-      if (message.kind === 'reply') this.#take(message, from);
+    this.#subscription = options.links.receive((message, from) => {
+      if (message.kind === 'ask') void this.#handleRequest(message, from);
+      if (message.kind === 'reply') this.#handleReply(message, from);
     });
   }
 
   /**
-   * Asks a peer.
+   * Sends a request to a peer and waits for the reply.
    *
    * @param to - the peer
-   * @param question - what to ask; the reply has the same kind
-   * @param options - how long to wait
-   * @returns the peer's reply
-   * @throws RouterError `peerUnavailable` when no answer came in time, or the peer could not answer
+   * @param request - the request; the reply has the same kind
+   * @param options - the timeout
+   * @returns the reply
+   * @throws RouterError `peerUnavailable` when the request times out, or the peer replies that it
+   *   failed or with another kind
    *
    * @example
-   * const { isReachable } = await questions.ask(peer, { kind: 'probe', target });
+   * const { isReachable } = await rpc.ask(peer, { kind: 'probe', target });
    */
-  async ask<Kind extends FleetQuestion['kind']>(
+  async ask<Kind extends FleetRequest['kind']>(
     to: InstanceId,
-    question: Extract<FleetQuestion, { kind: Kind }>,
+    request: Extract<FleetRequest, { kind: Kind }>,
     options: AskOptions = {},
   ): Promise<FleetReplyOf<Kind>> {
     const timeoutMs = options.timeoutMs ?? this.#options.timeoutMs ?? 1_000;
-    const reply = await this.#exchange(to, question, timeoutMs);
+    const reply = await this.#sendRequest(to, request, timeoutMs);
     if (reply === undefined) {
       throw new RouterError(unreachable, `${to} did not answer within ${timeoutMs} ms`);
     }
     if (reply.kind === 'failed') throw new RouterError(unreachable, `${to}: ${reply.reason}`);
-    if (reply.kind !== question.kind) {
-      throw new RouterError(unreachable, `${to} answered ${reply.kind} to ${question.kind}`);
+    if (reply.kind !== request.kind) {
+      throw new RouterError(
+        unreachable,
+        `${to} replied with ${reply.kind} to a request of kind ${request.kind}`,
+      );
     }
     return reply as FleetReplyOf<Kind>;
   }
 
   /**
-   * Answers the questions of one kind.
+   * Registers the handler for requests of one kind.
    *
-   * @param kind - which questions
-   * @param answerer - makes the reply, of the same kind
-   * @returns dispose of it to answer no more
+   * @param kind - the kind of request
+   * @param handler - creates the reply, of the same kind
+   * @returns the registration; dispose of it to remove the handler
    */
-  answer<Kind extends FleetQuestion['kind']>(
+  answer<Kind extends FleetRequest['kind']>(
     kind: Kind,
-    answerer: (
-      question: Extract<FleetQuestion, { kind: Kind }>,
+    handler: (
+      request: Extract<FleetRequest, { kind: Kind }>,
       from: InstanceId,
     ) => FleetReplyOf<Kind> | Promise<FleetReplyOf<Kind>>,
   ): Disposable {
-    this.#answerers.set(kind, answerer as unknown as Answerer);
+    this.#handlers.set(kind, handler as unknown as RequestHandler);
     return {
       [Symbol.dispose]: () => {
-        this.#answerers.delete(kind);
+        this.#handlers.delete(kind);
       },
     };
   }
 
   [Symbol.dispose](): void {
-    this.#receiving[Symbol.dispose]();
-    for (const { finish } of this.#waiting.values()) finish({ kind: 'failed', reason: 'closed' });
+    this.#subscription[Symbol.dispose]();
+    for (const { finish } of this.#pendingRequests.values())
+      finish({ kind: 'failed', reason: 'closed' });
   }
 
-  #exchange(
+  #sendRequest(
     to: InstanceId,
-    question: FleetQuestion,
+    request: FleetRequest,
     timeoutMs: number,
   ): Promise<FleetReply | undefined> {
-    this.#count += 1;
-    const askId = this.#count;
+    this.#lastAskId += 1;
+    const askId = this.#lastAskId;
     return new Promise((resolve) => {
       const timer = this.#options.clock.schedule(timeoutMs, () => {
-        this.#waiting.delete(askId);
+        this.#pendingRequests.delete(askId);
         resolve(undefined);
       });
       const finish = (reply: FleetReply) => {
         timer[Symbol.dispose]();
-        this.#waiting.delete(askId);
+        this.#pendingRequests.delete(askId);
         resolve(reply);
       };
-      this.#waiting.set(askId, { to, finish });
-      this.#options.links.send(to, { kind: 'ask', askId, question });
+      this.#pendingRequests.set(askId, { to, finish });
+      this.#options.links.send(to, { kind: 'ask', askId, question: request });
     });
   }
 
-  /** Only the peer that was asked may answer: ids are counted, so another could guess them. */
-  #take(message: FleetMessageOf<'reply'>, from: InstanceId): void {
-    const waiting = this.#waiting.get(message.askId);
-    if (waiting?.to === from) waiting.finish(message.reply);
+  /**
+   * Accepts a reply only from the peer that was asked: ids are sequential, so another peer could
+   * guess them.
+   */
+  #handleReply(message: FleetMessageOf<'reply'>, from: InstanceId): void {
+    const pendingRequest = this.#pendingRequests.get(message.askId);
+    if (pendingRequest?.to === from) pendingRequest.finish(message.reply);
   }
 
-  async #answer({ askId, question }: FleetMessageOf<'ask'>, from: InstanceId): Promise<void> {
-    const reply = await this.#replyTo(question, from);
+  async #handleRequest(
+    { askId, question }: FleetMessageOf<'ask'>,
+    from: InstanceId,
+  ): Promise<void> {
+    const reply = await this.#createReply(question, from);
     this.#options.links.send(from, { kind: 'reply', askId, reply });
   }
 
-  async #replyTo(question: FleetQuestion, from: InstanceId): Promise<FleetReply> {
-    const answerer = this.#answerers.get(question.kind);
-    if (answerer === undefined) {
-      return { kind: 'failed', reason: `${question.kind} is not answered here` };
+  async #createReply(request: FleetRequest, from: InstanceId): Promise<FleetReply> {
+    const handler = this.#handlers.get(request.kind);
+    if (handler === undefined) {
+      return { kind: 'failed', reason: `${request.kind} is not answered here` };
     }
     try {
-      return await answerer(question, from);
+      return await handler(request, from);
     } catch (thrown) {
       return { kind: 'failed', reason: describeError(thrown).message.slice(0, 512) };
     }
--- a/packages/fleet/src/MemberTable/index.ts
+++ b/packages/fleet/src/MemberTable/index.ts
@@ -9,42 +9,61 @@
 import type { MemberRecord } from '../types.js';
 
 /**
- * How a member is seen from here.
+ * State of a member as this instance sees it.
  *
- * `listed`: only the platform's list speaks of it. `starting`: it has no configuration yet and takes
- * no requests. `suspect`: somebody could not reach it, and it
- * has not answered to that yet; it still counts as usable. `dead`: it did not answer in time.
+ * - `listed`: known only from the platform's instance list
+ * - `starting`: has no configuration yet and accepts no requests
+ * - `live`: accepts requests
+ * - `suspect`: an instance could not reach it, and it has not refuted this yet; still counts as
+ *   usable
+ * - `leaving`: announced that it will soon stop accepting new callers
+ * - `left`: announced that it is shutting down now
+ * - `dead`: did not refute a suspicion in time
  */
 export type MemberState = 'listed' | 'starting' | 'live' | 'suspect' | 'leaving' | 'left' | 'dead';
 
-/** One instance of the fleet, as seen from here. */
+/** A member of the fleet as this instance sees it. */
 export interface Member {
   readonly id: InstanceId;
   readonly state: MemberState;
-  /** Names one life of the instance; empty when it was never heard of. */
+  /** Identifies one run of the instance's process; empty when no record of it was received. */
   readonly life: string;
   readonly incarnation: number;
   readonly url: string;
   readonly fleetUrl: string;
   readonly failureDomain: FailureDomainId;
-  /** Whether the platform's list names it. */
+  /** Whether the platform's instance list contains it. */
   readonly isListed: boolean;
-  /** Whether it was ever seen as live here; of others nothing but a list or hearsay speaks. */
+  /**
+   * Whether this instance ever held a `live` record of it, rather than only a list entry or
+   * suspicion.
+   */
   readonly wasLive: boolean;
-  /** Since when it is seen in this state, in milliseconds since 1970. */
+  /**
+   * When this instance first saw it in its present state, in milliseconds since the Unix epoch
+   * (1970).
+   */
   readonly sinceMs: number;
 }
 
 /** Options of {@link MemberTable}. */
 export interface MemberTableOptions {
   clock: Clock;
-  /** What this instance says of itself at the start. */
+  /** Initial record of this instance. */
   self: MemberRecord;
-  /** How long a suspect has to answer, in milliseconds. */
+  /** How long a suspected member has to refute the suspicion, in milliseconds. */
   suspicionMs: number;
 }
 
-/** What a record changed. */
+/**
+ * What a record changed.
+ *
+ * - `unchanged`: nothing
+ * - `changed`: the entry of another member
+ * - `selfRaised`: this instance raised its own incarnation to refute the record
+ * - `selfContested`: the same, for a record of another run that has not left; its id may be in use
+ *   twice
+ */
 export type MergeResult = 'unchanged' | 'changed' | 'selfRaised' | 'selfContested';
 
 interface Entry {
@@ -52,23 +71,27 @@
   isListed: boolean;
   isDead: boolean;
   wasLive: boolean;
-  /** By the monotonic clock; undefined while nobody doubts the member. */
+  /** On the monotonic clock; undefined while the member is not suspected. */
   suspectedAtMs: number | undefined;
-  /** By the monotonic clock. */
+  /** On the monotonic clock. */
   changedAtMs: number;
   sinceMs: number;
 }
 
-/** How long a member that is gone is remembered, so that late gossip does not bring it back. */
-const rememberGoneMs = 10 * millisecondsInMinute;
+/**
+ * How long a dead or left member is kept, in milliseconds, so that late gossip does not re-add it.
+ */
+const goneMemberRetentionMs = 10 * millisecondsInMinute;
 
 /**
- * What this instance believes of all members.
+ * This instance's view of all members.
  *
- * Of two records of a member the higher incarnation wins, and only the member itself raises it; so a
- * doubt is lifted, and a restart told apart from the former life, by the member's own word alone.
- * Death is never gossiped, only doubt is: each instance waits for itself before it gives a member
- * up. A rumour of death would otherwise kill a whole side for a moment when a partition heals.
+ * Of two records of a member the one with the higher incarnation wins, and only the member itself
+ * raises its incarnation. Hence only the member can refute a suspicion or replace the record of its
+ * earlier run.
+ *
+ * Suspicions are gossiped but deaths are not: each instance waits for the suspicion timeout itself.
+ * Otherwise gossiped deaths would briefly mark one whole side of a healed partition as dead.
  */
 export class MemberTable {
   readonly #options: MemberTableOptions;
@@ -81,47 +104,47 @@
     this.#self = options.self;
   }
 
-  /** What this instance says of itself. */
+  /** The record of this instance. */
   get self(): MemberRecord {
     return this.#self;
   }
 
-  /** A hash of the view, equal on instances that believe the same. */
+  /** A hash of the view; equal on instances that hold the same records. */
   get hash(): number {
     this.#hash ??= [...this.#entries.values()]
       .filter(({ record, isDead }) => record.incarnation > 0 && !isDead)
       .map(({ record }) => record)
       .concat(this.#self)
-      .reduce((hash, record) => (hash ^ hashOf(record)) >>> 0, 0);
+      .reduce((hash, record) => (hash ^ hashRecord(record)) >>> 0, 0);
     return this.#hash;
   }
 
-  /** Says where this instance listens; before anything was said of it. */
+  /** Sets the addresses of this instance; call it before the first record of it is sent. */
   setAddresses({ url, fleetUrl }: Pick<MemberRecord, 'url' | 'fleetUrl'>): void {
     this.#self = { ...this.#self, url, fleetUrl };
   }
 
-  /** Changes what this instance says of itself, above everything said before. */
-  declare(state: MemberRecord['state']): void {
+  /** Sets the state of this instance and raises its incarnation, so that the new record wins. */
+  setOwnState(state: MemberRecord['state']): void {
     this.#self = { ...this.#self, state, incarnation: this.#self.incarnation + 1 };
     this.#hash = undefined;
   }
 
   /**
-   * Takes the platform's list, which lags: it brings instances in and lets gone ones be forgotten,
-   * but does not contradict what a member said of itself.
+   * Applies the platform's instance list. The list lags, so it only adds unknown instances and
+   * allows gone ones to be removed; it never overrides a record that came from a member.
    *
    * @returns whether anything changed
    */
-  list(entries: readonly ListedInstance[]): boolean {
+  applyInstanceList(entries: readonly ListedInstance[]): boolean {
     const listed = new Map(entries.map((entry) => [entry.id, entry]));
     let isChanged = false;
-    for (const entry of listed.values()) isChanged = this.#listOne(entry) || isChanged;
+    for (const entry of listed.values()) isChanged = this.#applyListedInstance(entry) || isChanged;
     for (const [id, entry] of this.#entries) {
       if (listed.has(id) || !entry.isListed) continue;
       entry.isListed = false;
       isChanged = true;
-      // Never heard of and no longer listed: nothing speaks for it.
+      // No record was ever received, and the list no longer contains it.
       if (entry.record.incarnation === 0) this.#entries.delete(id);
     }
     if (isChanged) this.#hash = undefined;
@@ -129,19 +152,19 @@
   }
 
   /**
-   * Takes what somebody says of a member.
+   * Merges a received record into the view.
    *
-   * @param record - about any member, this instance included
+   * @param record - describes any member, including this instance
    */
   merge(record: MemberRecord): MergeResult {
-    if (record.id === this.#self.id) return this.#answerFor(record);
+    if (record.id === this.#self.id) return this.#mergeOwnRecord(record);
     const known = this.#entries.get(record.id);
     if (known === undefined) {
-      this.#put(record, { isListed: false });
+      this.#setRecord(record, { isListed: false });
       return 'changed';
     }
     if (record.incarnation > known.record.incarnation) {
-      this.#put(record, { isListed: known.isListed });
+      this.#setRecord(record, { isListed: known.isListed });
       return 'changed';
     }
     const isSameIncarnation = record.incarnation === known.record.incarnation;
@@ -149,43 +172,44 @@
     return 'unchanged';
   }
 
-  /** Doubts a member from now on. */
+  /** Marks a member as suspected and starts its suspicion timeout. */
   suspect(id: InstanceId): MergeResult {
     const entry = this.#entries.get(id);
     if (entry === undefined || entry.record.isSuspect || entry.record.state === 'left') {
       return 'unchanged';
     }
-    this.#put({ ...entry.record, isSuspect: true }, { isListed: entry.isListed });
+    this.#setRecord({ ...entry.record, isSuspect: true }, { isListed: entry.isListed });
     return 'changed';
   }
 
   /**
-   * Gives up suspects whose time is over, and forgets who has been gone for long.
+   * Declares suspects dead whose suspicion timeout has passed, and removes members that have been
+   * gone for longer than the retention period.
    *
-   * @returns those given up now
+   * @returns the members declared dead by this call
    */
   expire(): InstanceId[] {
     const { clock, suspicionMs } = this.#options;
     const nowMs = clock.monotonicMs();
-    const died: InstanceId[] = [];
+    const expiredIds: InstanceId[] = [];
     for (const [id, entry] of this.#entries) {
       const suspectedAtMs = entry.suspectedAtMs ?? Infinity;
       if (!entry.isDead && nowMs - suspectedAtMs >= suspicionMs) {
-        this.#change(entry, { isDead: true });
-        died.push(id);
+        this.#updateEntry(entry, { isDead: true });
+        expiredIds.push(id);
       }
       const isGone = entry.isDead || entry.record.state === 'left';
-      const isForgotten = nowMs - entry.changedAtMs >= rememberGoneMs;
-      if (isGone && isForgotten && !entry.isListed) this.#entries.delete(id);
+      const isRetentionOver = nowMs - entry.changedAtMs >= goneMemberRetentionMs;
+      if (isGone && isRetentionOver && !entry.isListed) this.#entries.delete(id);
     }
-    return died;
+    return expiredIds;
   }
 
   /**
-   * Begins all waits for suspects anew.
+   * Restarts the suspicion timeouts of all suspects.
    *
-   * Guards against a pause of this process: acknowledgements that came meanwhile were not read, so
-   * everybody would look dead at once when it wakes.
+   * Call it after a pause of this process: messages that arrived during the pause were not read, so
+   * every suspect would be declared dead as soon as the process resumes.
    */
   restartSuspicions(): void {
     const nowMs = this.#options.clock.monotonicMs();
@@ -194,30 +218,33 @@
     }
   }
 
-  /** What is said of a member here; a dead one is said to be suspect, so that it can object. */
+  /**
+   * The record of a member to gossip. A dead member's record is sent as suspected, so that it
+   * can refute it.
+   */
   record(id: InstanceId): MemberRecord | undefined {
     return id === this.#self.id ? this.#self : this.#entries.get(id)?.record;
   }
 
-  /** Members heard of and not given up, for comparing views slice by slice. */
+  /** Members with a received record that are not dead; peers compare their views over these. */
   knownIds(): InstanceId[] {
     return [...this.#entries]
       .filter(([, { record, isDead }]) => record.incarnation > 0 && !isDead)
       .map(([id]) => id);
   }
 
-  /** How one member is seen. */
+  /** The view of one member. */
   member(id: InstanceId): Member | undefined {
     const entry = this.#entries.get(id);
-    return entry === undefined ? undefined : memberOf(entry);
+    return entry === undefined ? undefined : toMember(entry);
   }
 
   /** All members but this instance. */
   others(): Member[] {
-    return [...this.#entries.values()].map(memberOf);
+    return [...this.#entries.values()].map(toMember);
   }
 
-  #listOne(listed: ListedInstance): boolean {
+  #applyListedInstance(listed: ListedInstance): boolean {
     if (listed.id === this.#self.id) return false;
     const known = this.#entries.get(listed.id);
     if (known !== undefined && known.record.incarnation > 0) {
@@ -225,16 +252,16 @@
       known.isListed = true;
       return isChanged;
     }
-    const record = recordOfListed(listed);
+    const record = toMemberRecord(listed);
     if (known?.record.fleetUrl === record.fleetUrl && known.record.state === record.state) {
       return false;
     }
-    this.#put(record, { isListed: true });
+    this.#setRecord(record, { isListed: true });
     return true;
   }
 
-  /** Lifts a doubt about this instance, and outdoes what is still said of its former life. */
-  #answerFor(record: MemberRecord): MergeResult {
+  /** Refutes a suspicion of this instance, and supersedes records of its earlier run. */
+  #mergeOwnRecord(record: MemberRecord): MergeResult {
     if (record.incarnation < this.#self.incarnation) return 'unchanged';
     const isOtherLife = record.life !== this.#self.life;
     if (!record.isSuspect && !isOtherLife) return 'unchanged';
@@ -243,7 +270,7 @@
     return isOtherLife && record.state !== 'left' ? 'selfContested' : 'selfRaised';
   }
 
-  #put(record: MemberRecord, { isListed }: { isListed: boolean }): void {
+  #setRecord(record: MemberRecord, { isListed }: { isListed: boolean }): void {
     const { clock } = this.#options;
     const nowMs = clock.monotonicMs();
     const isLive = record.incarnation > 0 && record.state === 'live' && !record.isSuspect;
@@ -259,7 +286,7 @@
     });
   }
 
-  #change(entry: Entry, change: Pick<Entry, 'isDead'>): void {
+  #updateEntry(entry: Entry, change: Pick<Entry, 'isDead'>): void {
     entry.isDead = change.isDead;
     entry.changedAtMs = this.#options.clock.monotonicMs();
     entry.sinceMs = this.#options.clock.wallMs();
@@ -267,7 +294,7 @@
   }
 }
 
-function memberOf(entry: Entry): Member {
+function toMember(entry: Entry): Member {
   const { id, life, incarnation, url, fleetUrl, failureDomain } = entry.record;
   return {
     id,
@@ -292,7 +319,7 @@
   return record.incarnation === 0 ? 'listed' : 'live';
 }
 
-function recordOfListed(listed: ListedInstance): MemberRecord {
+function toMemberRecord(listed: ListedInstance): MemberRecord {
   return {
     id: listed.id,
     life: '',
@@ -305,6 +332,6 @@
   };
 }
 
-function hashOf({ id, incarnation, state, isSuspect }: MemberRecord): number {
+function hashRecord({ id, incarnation, state, isSuspect }: MemberRecord): number {
   return hashText(`${id}\n${incarnation}\n${state}\n${isSuspect}`);
 }
--- a/packages/fleet/src/Membership/index.ts
+++ b/packages/fleet/src/Membership/index.ts
@@ -13,24 +13,24 @@
 import type { FleetLinks } from '../FleetLinks/index.js';
 import type { FleetQuestions } from '../FleetQuestions/index.js';
 import { MemberTable, type Member, type MergeResult } from '../MemberTable/index.js';
-import { chooseMonitored } from '../_lib/chooseMonitored/index.js';
-import { RecordBudget } from '../_lib/RecordBudget/index.js';
-import { NewsQueue } from '../_lib/NewsQueue/index.js';
+import { chooseMonitoredPeers } from '../_lib/chooseMonitoredPeers/index.js';
+import { RecordRateLimiter } from '../_lib/RecordRateLimiter/index.js';
+import { UpdateQueue } from '../_lib/UpdateQueue/index.js';
 import type { FleetMessage, FleetMessageOf, MemberRecord } from '../types.js';
 
-/** What an instance says of itself when it starts. */
-export interface MembershipSelf {
+/** Identity of this instance, as its member record states it. */
+export interface LocalMember {
   readonly id: InstanceId;
-  /** Differs between two lives of the same instance. */
+  /** Identifies one run of the instance's process; differs after each restart. */
   readonly life: string;
   readonly failureDomain: FailureDomainId;
 }
 
-/** Where an instance listens, known when it does. */
+/** Addresses of this instance, known once it listens. */
 export interface InstanceAddresses {
   /** `http://IP:PORT` for callers. */
   readonly url: string;
-  /** `ws://IP:PORT` for peers; empty for an instance that runs alone. */
+  /** `ws://IP:PORT` for peers; empty for an instance without peers. */
   readonly fleetUrl: string;
 }
 
@@ -42,83 +42,91 @@
   questions: FleetQuestions;
   metrics: Metrics;
   log: Log;
-  self: MembershipSelf;
-  /** The configuration version in force here; 0 for none. */
+  self: LocalMember;
+  /** Returns the configuration version in force on this instance; 0 for none. */
   configurationVersion: () => number;
-  /** Time between two heartbeats to one peer, in milliseconds. */
+  /** Interval between two heartbeats to one peer, in milliseconds; 1,000 by default. */
   heartbeatMs?: number;
-  /** How long an acknowledgement is waited for, in milliseconds. */
+  /** Timeout for the acknowledgement of a heartbeat, in milliseconds; 300 by default. */
   ackMs?: number;
-  /** How long a suspect has to answer, in milliseconds. */
+  /** How long a suspected member has to refute the suspicion, in milliseconds; 3,000 by default. */
   suspicionMs?: number;
 }
 
-/** How many peers an instance sends heartbeats to, whatever the size of the fleet. */
-export const monitoredPeers = 4;
-/** How many others are asked whether they reach a peer that did not acknowledge. */
-const confirmingPeers = 3;
-/** Bounds of one message: changes, and records of a view that differs. */
-const maxNewsRecords = 5;
-const maxSliceRecords = 4;
-/** Records about others that leave in a second, in all messages together. */
+/** Number of peers that an instance sends heartbeats to, independent of the size of the fleet. */
+export const monitoredPeerCount = 4;
+/** Number of members that are asked to probe a peer that did not acknowledge a heartbeat. */
+const indirectProbePeers = 3;
+/** Maximum number of changed records in one message. */
+const maxUpdateRecords = 5;
+/** Maximum number of records that one message carries because the peer's view differs. */
+const maxSyncRecords = 4;
+/** Maximum number of records about other members sent per second, over all messages. */
 const recordsPerSecond = 48;
-/** With more changes than this under way, changes wait for heartbeats: a storm stays bounded. */
-const maxUrgentChanges = 4;
-/** How many of those that speak to this instance hear its changes at once. */
-const maxRecentPeers = 2 * monitoredPeers;
-/** A peer that was not heard for so many heartbeats is no neighbour any more. */
-const rememberedHeartbeats = 3;
-/** By how much of itself the time between two heartbeats varies, either way. */
-const heartbeatSpread = 0.1;
-/** Changes that come close together leave in one message. */
-const urgentDelayMs = 50;
-/** Rounds of changes that do not wait for heartbeats are at least so far apart. */
-const urgentGapMs = 500;
-/** A timer that is so late tells that this process was paused. */
-const pauseMs = 2 * millisecondsInSecond;
-
-type Heartbeat = FleetMessageOf<'heartbeat' | 'heartbeatAck' | 'news'>;
-
-interface Monitoring {
+/**
+ * With more pending updates than this, updates wait for the next heartbeats instead of being sent
+ * immediately. Bounds the traffic when many members change at once.
+ */
+const maxImmediateUpdates = 4;
+/** Maximum number of recently active peers that are sent updates immediately. */
+const maxRecentPeers = 2 * monitoredPeerCount;
+/** A peer that sent nothing for this many heartbeat intervals is no longer a neighbour. */
+const recentPeerHeartbeats = 3;
+/** Jitter of the heartbeat interval in either direction, as a fraction of the interval. */
+const heartbeatJitter = 0.1;
+/** Delay before an immediate update, in milliseconds, so that one message carries several. */
+const immediateDelayMs = 50;
+/** Minimum interval between two rounds of immediate updates, in milliseconds. */
+const minImmediateGapMs = 500;
+/** A timer that fires later than this shows that the process was paused, in milliseconds. */
+const pauseThresholdMs = 2 * millisecondsInSecond;
+
+/** A message that carries member records. */
+type GossipMessage = FleetMessageOf<'heartbeat' | 'heartbeatAck' | 'news'>;
+
+/** The task that sends heartbeats to one peer. */
+interface PeerMonitor {
   readonly stop: AbortController;
   readonly done: Promise<void>;
 }
 
 /**
- * Who is in the fleet and alive.
+ * Gossip-based membership and failure detection for the fleet, similar to the SWIM protocol.
  *
- * Heartbeats go to {@link monitoredPeers} peers each second, not to all; what changes rides on them
- * to everybody. A peer that does not acknowledge is first looked for by way of others, then
- * suspected, which everybody hears, it included; only when it has not objected in time does each
- * instance give it up for itself.
+ * Each instance sends heartbeats to {@link monitoredPeerCount} peers rather than to all members;
+ * membership changes are piggybacked on heartbeats and so reach every instance. A peer that does
+ * not acknowledge a heartbeat is probed indirectly through other members. If they cannot reach it
+ * either, it is suspected, and the suspicion is gossiped to all members including the suspect.
+ * Unless the suspect refutes it within the suspicion timeout, each instance declares it dead on its
+ * own.
  */
 export class Membership implements AsyncDisposable {
   /** All members but this instance. */
   readonly members = new StateStream<readonly Member[]>([]);
   readonly #options: Required<MembershipOptions>;
   readonly #table: MemberTable;
-  readonly #news = new NewsQueue();
-  readonly #budget: RecordBudget;
+  readonly #pendingUpdates = new UpdateQueue();
+  readonly #recordLimiter: RecordRateLimiter;
   readonly #owned = new DisposableStore();
   readonly #stop = new AbortController();
-  readonly #monitoring = new Map<InstanceId, Monitoring>();
-  readonly #acks = new Map<number, { from: InstanceId; take: () => void }>();
-  /** Configuration versions that peers told directly. */
-  readonly #versions = new Map<InstanceId, { version: number; heardAtMs: number }>();
+  readonly #monitors = new Map<InstanceId, PeerMonitor>();
+  readonly #pendingAcks = new Map<number, { from: InstanceId; acknowledge: () => void }>();
+  /** For each peer, the configuration version in its latest message, and when that was received. */
+  readonly #lastMessages = new Map<InstanceId, { version: number; receivedAtMs: number }>();
   #sequence = 0;
-  #sliceAt = 0;
-  #urgent: Disposable | undefined;
-  #urgentAtMs = -Infinity;
+  #syncOffset = 0;
+  #immediateTimer: Disposable | undefined;
+  #lastImmediateAtMs = -Infinity;
 
   constructor(options: MembershipOptions) {
     this.#options = { heartbeatMs: 1_000, ackMs: 300, suspicionMs: 3_000, ...options };
     const { clock, self, suspicionMs } = this.#options;
-    this.#budget = new RecordBudget(clock, recordsPerSecond);
+    this.#recordLimiter = new RecordRateLimiter(clock, recordsPerSecond);
     this.#table = new MemberTable({
       clock,
       suspicionMs,
-      // Later lives begin above earlier ones; where a clock was set back, hearsay of the former
-      // life raises it.
+      // Starting from the wall clock puts the incarnation above that of any earlier run. If the
+      // clock was set back, gossiped records of the earlier run raise the incarnation above theirs.
       self: {
         ...self,
         url: '',
@@ -130,27 +138,27 @@
     });
   }
 
-  /** What this instance says of itself. */
+  /** The record of this instance. */
   get self(): MemberRecord {
     return this.#table.self;
   }
 
-  /** Whom this instance exchanges heartbeats with. */
+  /** Peers that this instance monitors or has recently received messages from. */
   get neighbours(): InstanceId[] {
-    return [...new Set([...this.#monitoring.keys(), ...this.#recentPeers()])];
+    return [...new Set([...this.#monitors.keys(), ...this.#recentPeers()])];
   }
 
   /**
-   * Starts to send heartbeats and to answer those of others.
+   * Starts sending heartbeats and acknowledging those of peers.
    *
-   * @param addresses - where others reach this instance
+   * @param addresses - where callers and peers connect to this instance
    */
   start(addresses: InstanceAddresses): void {
     const { links, questions } = this.#options;
     this.#table.setAddresses(addresses);
     this.#owned.add(
       links.receive((message, from) => {
-        this.#take(message, from);
+        this.#handleMessage(message, from);
       }),
     );
     this.#owned.add(
@@ -159,76 +167,82 @@
         isReachable: await this.#probe(target),
       })),
     );
-    const housekeeping = this.#keepHouse();
-    const lookingFor = this.#lookForLost();
-    this.#owned.add({ [Symbol.asyncDispose]: () => housekeeping });
-    this.#owned.add({ [Symbol.asyncDispose]: () => lookingFor });
+    const expiryTask = this.#runExpiry();
+    const reconnectTask = this.#probeUnreachable();
+    this.#owned.add({ [Symbol.asyncDispose]: () => expiryTask });
+    this.#owned.add({ [Symbol.asyncDispose]: () => reconnectTask });
   }
 
-  /** Takes the platform's list of entry instances. */
+  /** Applies the platform's list of entry instances. */
   list(entries: readonly ListedInstance[]): void {
-    if (this.#table.list(entries)) this.#publish();
+    if (this.#table.applyInstanceList(entries)) this.#publish();
   }
 
-  /** Tells the fleet that this instance takes requests, once it has a configuration. */
+  /** Changes the state of this instance from `starting` to `live`: it now accepts requests. */
   serve(): void {
-    if (this.self.state === 'starting') this.#declare('live');
+    if (this.self.state === 'starting') this.#setOwnState('live');
   }
 
-  /** Tells the fleet that this instance takes no new callers soon. */
+  /** Changes the state of this instance to `leaving`: it will soon stop accepting new callers. */
   leave(): void {
-    this.#declare('leaving');
+    this.#setOwnState('leaving');
   }
 
-  /** Tells the fleet that this instance ends now; nobody needs to find out by silence. */
+  /**
+   * Changes the state of this instance to `left` and tells the neighbours at once, so that none of
+   * them has to detect the shutdown by missing heartbeats.
+   */
   end(): void {
-    this.#declare('left');
-    this.#sendNews();
+    this.#setOwnState('left');
+    this.#sendUpdates();
   }
 
   /**
-   * The configuration version that a member has in force.
+   * Returns the configuration version in force at a member.
    *
-   * @returns undefined when it is not known: only peers that exchange heartbeats tell each other
+   * @returns undefined when it is unknown, since only peers that exchange messages report it
    */
   configurationVersionOf(id: InstanceId): number | undefined {
-    return this.#versions.get(id)?.version;
+    return this.#lastMessages.get(id)?.version;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    this.#urgent?.[Symbol.dispose]();
-    const tasks = [...this.#monitoring.values()];
+    this.#immediateTimer?.[Symbol.dispose]();
+    const tasks = [...this.#monitors.values()];
     for (const { stop } of tasks) stop.abort();
     await Promise.all(tasks.map(({ done }) => done));
     await this.#owned.dispose();
   }
 
-  /** The task of one monitored peer. */
-  async #monitor(id: InstanceId, signal: AbortSignal): Promise<void> {
+  /** Sends heartbeats to one peer until aborted. */
+  async #monitorPeer(id: InstanceId, signal: AbortSignal): Promise<void> {
     const { clock, random, heartbeatMs } = this.#options;
-    // An instance that has just started names nobody before it has heard of them.
+    // Probes at once: an instance that has just started has no records of other members to gossip
+    // until it receives them.
     void this.#probe(id);
     await clock.sleep(random() * heartbeatMs, signal);
     while (!signal.aborted) {
       const startedMs = clock.monotonicMs();
-      const silentMs = startedMs - (this.#versions.get(id)?.heardAtMs ?? -Infinity);
-      const allowedMs = heartbeatMs * (1 + heartbeatSpread * (2 * random() - 1));
-      // What was heard just now proves as much as an acknowledgement; of two that monitor each other
-      // the one whose turn comes first speaks for both.
-      if (silentMs < allowedMs) {
-        await clock.sleep(allowedMs - silentMs, signal);
+      const silenceMs = startedMs - (this.#lastMessages.get(id)?.receivedAtMs ?? -Infinity);
+      const intervalMs = heartbeatMs * (1 + heartbeatJitter * (2 * random() - 1));
+      // Any message within the interval proves that the peer is alive, as an acknowledgement does.
+      // Of two peers that monitor each other, the one whose timer fires first probes for both.
+      if (silenceMs < intervalMs) {
+        await clock.sleep(intervalMs - silenceMs, signal);
         continue;
       }
-      const isReached = (await this.#probe(id)) || (await this.#confirm(id));
+      const isReached = (await this.#probe(id)) || (await this.#probeIndirectly(id));
       const tookMs = clock.monotonicMs() - startedMs;
-      // After a pause of this process the acknowledgement may wait unread: it proves nothing.
-      if (!isReached && !signal.aborted && tookMs < pauseMs + heartbeatMs) this.#suspect(id);
+      // If this process was paused, the acknowledgement may have arrived and not been read yet, so
+      // its absence proves nothing.
+      if (!isReached && !signal.aborted && tookMs < pauseThresholdMs + heartbeatMs)
+        this.#suspect(id);
       await clock.sleep(heartbeatMs - tookMs, signal);
     }
   }
 
-  /** Sends a heartbeat and waits for its acknowledgement. */
+  /** Sends a heartbeat and resolves with whether it was acknowledged in time. */
   #probe(id: InstanceId): Promise<boolean> {
     const { clock, links, ackMs } = this.#options;
     this.#sequence += 1;
@@ -236,36 +250,36 @@
     return new Promise((resolve) => {
       const finish = (isReached: boolean) => {
         timer[Symbol.dispose]();
-        this.#acks.delete(sequence);
+        this.#pendingAcks.delete(sequence);
         resolve(isReached);
       };
       const timer = clock.schedule(ackMs, () => {
         finish(false);
       });
-      const take = () => {
+      const acknowledge = () => {
         finish(true);
       };
-      this.#acks.set(sequence, { from: id, take });
-      links.send(id, this.#heartbeat('heartbeat', sequence, id));
+      this.#pendingAcks.set(sequence, { from: id, acknowledge });
+      links.send(id, this.#createGossipMessage('heartbeat', sequence, id));
     });
   }
 
   /**
-   * Asks others whether they reach a peer that did not acknowledge.
+   * Asks other members to probe a peer that did not acknowledge a heartbeat.
    *
-   * Guards against a false death by one bad link: it shows as missing acknowledgements here alone,
-   * while others still reach the peer.
+   * Prevents false positives caused by a single bad link: only this instance misses the
+   * acknowledgements, while other members still reach the peer.
    */
-  async #confirm(id: InstanceId): Promise<boolean> {
+  async #probeIndirectly(id: InstanceId): Promise<boolean> {
     const { questions, ackMs, metrics } = this.#options;
     metrics.count('heartbeatsMissed');
-    const confirmers = this.#pick(
-      confirmingPeers,
+    const relays = this.#pickRandom(
+      indirectProbePeers,
       (member) => member.id !== id && isUsable(member),
     );
     const timeoutMs = 2 * ackMs;
-    const answers = confirmers.map((confirmer) =>
-      questions.ask(confirmer.id, { kind: 'probe', target: id }, { timeoutMs }).then(
+    const answers = relays.map((relay) =>
+      questions.ask(relay.id, { kind: 'probe', target: id }, { timeoutMs }).then(
         ({ isReachable }) => isReachable,
         () => false,
       ),
@@ -275,68 +289,80 @@
     return isReached;
   }
 
-  /** Probes who was given up or never heard of, so that a healed partition is noticed. */
-  async #lookForLost(): Promise<void> {
+  /**
+   * Probes one random member per heartbeat interval that is dead, suspected or only listed, so that
+   * a healed partition is noticed.
+   */
+  async #probeUnreachable(): Promise<void> {
     const { clock, random, heartbeatMs } = this.#options;
     await clock.sleep(random() * heartbeatMs, this.#stop.signal);
     while (!this.#stop.signal.aborted) {
-      const [lost] = this.#pick(1, ({ state, id }) => {
-        const isLost = state === 'dead' || state === 'listed' || state === 'suspect';
-        return isLost && !this.#monitoring.has(id);
+      const [unreachable] = this.#pickRandom(1, ({ state, id }) => {
+        const isUnreachable = state === 'dead' || state === 'listed' || state === 'suspect';
+        return isUnreachable && !this.#monitors.has(id);
       });
-      if (lost !== undefined && !(await this.#probe(lost.id)) && !this.#stop.signal.aborted) {
-        if (!(await this.#confirm(lost.id))) this.#suspect(lost.id);
+      if (
+        unreachable !== undefined &&
+        !(await this.#probe(unreachable.id)) &&
+        !this.#stop.signal.aborted
+      ) {
+        if (!(await this.#probeIndirectly(unreachable.id))) this.#suspect(unreachable.id);
       }
       await clock.sleep(heartbeatMs, this.#stop.signal);
     }
   }
 
-  /** Gives up suspects whose time is over. */
-  async #keepHouse(): Promise<void> {
+  /** Periodically declares suspects dead whose suspicion timeout has passed. */
+  async #runExpiry(): Promise<void> {
     const { clock, log, metrics, heartbeatMs } = this.#options;
     while (!this.#stop.signal.aborted) {
       const startedMs = clock.monotonicMs();
       await clock.sleep(heartbeatMs / 4, this.#stop.signal);
-      if (clock.monotonicMs() - startedMs > pauseMs) {
+      if (clock.monotonicMs() - startedMs > pauseThresholdMs) {
         metrics.count('pausesNoticed');
         this.#table.restartSuspicions();
       }
-      const died = this.#table.expire();
-      for (const id of died) {
+      const expiredIds = this.#table.expire();
+      for (const id of expiredIds) {
         metrics.count('membersGivenUp');
         log.warn({ member: id }, 'member given up');
       }
-      if (died.length > 0) this.#publish();
-      this.#forgetSilent();
+      if (expiredIds.length > 0) this.#publish();
+      this.#forgetInactivePeers();
     }
   }
 
-  #forgetSilent(): void {
+  #forgetInactivePeers(): void {
     const { clock, heartbeatMs } = this.#options;
-    const sinceMs = clock.monotonicMs() - rememberedHeartbeats * heartbeatMs;
-    for (const [id, { heardAtMs }] of this.#versions) {
-      if (heardAtMs < sinceMs) this.#versions.delete(id);
+    const cutoffMs = clock.monotonicMs() - recentPeerHeartbeats * heartbeatMs;
+    for (const [id, { receivedAtMs }] of this.#lastMessages) {
+      if (receivedAtMs < cutoffMs) this.#lastMessages.delete(id);
     }
   }
 
-  #take(message: FleetMessage, from: InstanceId): void {
+  #handleMessage(message: FleetMessage, from: InstanceId): void {
     if (message.kind === 'heartbeat') {
-      this.#hear(message, from);
-      const ack = this.#heartbeat('heartbeatAck', message.sequence, from, message.viewHash);
+      this.#handleGossip(message, from);
+      const ack = this.#createGossipMessage(
+        'heartbeatAck',
+        message.sequence,
+        from,
+        message.viewHash,
+      );
       this.#options.links.send(from, ack);
     } else if (message.kind === 'heartbeatAck') {
-      this.#hear(message, from);
-      const waiting = this.#acks.get(message.sequence);
-      if (waiting?.from === from) waiting.take();
+      this.#handleGossip(message, from);
+      const pendingAck = this.#pendingAcks.get(message.sequence);
+      if (pendingAck?.from === from) pendingAck.acknowledge();
     } else if (message.kind === 'news') {
-      this.#hear(message, from);
+      this.#handleGossip(message, from);
     }
   }
 
-  #hear({ records, configurationVersion }: Heartbeat, from: InstanceId): void {
-    this.#versions.set(from, {
+  #handleGossip({ records, configurationVersion }: GossipMessage, from: InstanceId): void {
+    this.#lastMessages.set(from, {
       version: configurationVersion,
-      heardAtMs: this.#options.clock.monotonicMs(),
+      receivedAtMs: this.#options.clock.monotonicMs(),
     });
     const results = records.map((record) => this.#merge(record));
     if (results.some((result) => result !== 'unchanged')) this.#publish();
@@ -346,7 +372,7 @@
     const { metrics, log } = this.#options;
     const result = this.#table.merge(record);
     if (result === 'unchanged') return result;
-    this.#tell(record.id);
+    this.#queueUpdate(record.id);
     if (result === 'selfRaised') metrics.count('suspicionsRefuted');
     if (result === 'selfContested') {
       metrics.count('idContested');
@@ -359,58 +385,64 @@
     const result = this.#table.suspect(id);
     if (result === 'unchanged') return;
     this.#options.metrics.count('membersSuspected');
-    this.#tell(id);
+    this.#queueUpdate(id);
     this.#publish();
   }
 
-  #declare(state: MemberRecord['state']): void {
-    this.#table.declare(state);
-    this.#tell(this.#table.self.id);
+  #setOwnState(state: MemberRecord['state']): void {
+    this.#table.setOwnState(state);
+    this.#queueUpdate(this.#table.self.id);
   }
 
-  /** Spreads a change at once, unless so many are under way that heartbeats must do. */
-  #tell(id: InstanceId): void {
-    this.#news.add(id);
-    if (this.#urgent !== undefined || this.#news.size > maxUrgentChanges) return;
+  /** Queues a changed record, and schedules an immediate update unless too many are pending. */
+  #queueUpdate(id: InstanceId): void {
+    this.#pendingUpdates.add(id);
+    if (this.#immediateTimer !== undefined || this.#pendingUpdates.size > maxImmediateUpdates)
+      return;
     if (this.#stop.signal.aborted) return;
     const { clock } = this.#options;
-    const gapMs = this.#urgentAtMs + urgentGapMs - clock.monotonicMs();
-    this.#urgent = clock.schedule(Math.max(urgentDelayMs, gapMs), () => {
-      this.#urgent = undefined;
-      this.#urgentAtMs = clock.monotonicMs();
-      this.#sendNews();
+    const remainingGapMs = this.#lastImmediateAtMs + minImmediateGapMs - clock.monotonicMs();
+    this.#immediateTimer = clock.schedule(Math.max(immediateDelayMs, remainingGapMs), () => {
+      this.#immediateTimer = undefined;
+      this.#lastImmediateAtMs = clock.monotonicMs();
+      this.#sendUpdates();
     });
   }
 
-  #sendNews(): void {
+  #sendUpdates(): void {
     for (const id of this.neighbours) {
-      this.#options.links.send(id, this.#heartbeat('news', 0, id));
+      this.#options.links.send(id, this.#createGossipMessage('news', 0, id));
     }
   }
 
-  #heartbeat<Kind extends Heartbeat['kind']>(
+  #createGossipMessage<Kind extends GossipMessage['kind']>(
     kind: Kind,
     sequence: number,
     to: InstanceId,
-    theirHash = this.#table.hash,
+    peerViewHash = this.#table.hash,
   ) {
-    const newsCount = this.#budget.take(Math.min(maxNewsRecords, this.#news.size));
-    const ids = new Set([this.#table.self.id, ...this.#news.take(newsCount)]);
-    // A peer hears what is said of it or of its former life, so that it can object.
-    const ofPeer = this.#table.record(to);
-    if (ofPeer?.isSuspect === true || ofPeer?.state === 'left') ids.add(to);
-    if (theirHash !== this.#table.hash) for (const id of this.#nextSlice()) ids.add(id);
+    const updateCount = this.#recordLimiter.take(
+      Math.min(maxUpdateRecords, this.#pendingUpdates.size),
+    );
+    const ids = new Set([this.#table.self.id, ...this.#pendingUpdates.take(updateCount)]);
+    // Sends the peer any suspicion of it or record of its earlier run, so that it can refute it.
+    const peerRecord = this.#table.record(to);
+    if (peerRecord?.isSuspect === true || peerRecord?.state === 'left') ids.add(to);
+    if (peerViewHash !== this.#table.hash) for (const id of this.#nextSyncIds()) ids.add(id);
     const records = [...ids].flatMap((id) => this.#table.record(id) ?? []);
     const configurationVersion = this.#options.configurationVersion();
     return { kind, sequence, configurationVersion, viewHash: this.#table.hash, records };
   }
 
-  /** The next few members in turn; peers whose views differ walk through each other's this way. */
-  #nextSlice(): InstanceId[] {
+  /**
+   * Returns the next few member ids in round-robin order. Peers whose views differ exchange their
+   * whole views slice by slice this way (anti-entropy).
+   */
+  #nextSyncIds(): InstanceId[] {
     const ids = this.#table.knownIds();
-    const count = this.#budget.take(Math.min(maxSliceRecords, ids.length));
-    const start = this.#sliceAt % Math.max(1, ids.length);
-    this.#sliceAt = start + count;
+    const count = this.#recordLimiter.take(Math.min(maxSyncRecords, ids.length));
+    const start = this.#syncOffset % Math.max(1, ids.length);
+    this.#syncOffset = start + count;
     return ids.slice(start, start + count);
   }
 
@@ -419,42 +451,46 @@
     this.#options.links.setPeers(
       others.filter(({ state, fleetUrl }) => state !== 'left' && fleetUrl !== ''),
     );
-    this.#superviseMonitoring(others);
+    this.#updateMonitors(others);
     this.members.set(others);
   }
 
-  /** Starts and ends the tasks of monitored peers as the fleet changes. */
-  #superviseMonitoring(others: readonly Member[]): void {
+  /** Starts and stops peer monitors so that they match the current members. */
+  #updateMonitors(others: readonly Member[]): void {
     if (this.#stop.signal.aborted || this.self.fleetUrl === '') return;
     const candidates = others.filter(({ state, fleetUrl }) => {
       return state !== 'dead' && state !== 'left' && fleetUrl !== '';
     });
     const ids = candidates.map(({ id }) => id);
-    const wanted = new Set(chooseMonitored(this.#options.self.id, ids, monitoredPeers));
-    for (const [id, { stop }] of this.#monitoring) {
-      if (wanted.has(id)) continue;
+    const monitoredIds = new Set(
+      chooseMonitoredPeers(this.#options.self.id, ids, monitoredPeerCount),
+    );
+    for (const [id, { stop }] of this.#monitors) {
+      if (monitoredIds.has(id)) continue;
       stop.abort();
-      this.#monitoring.delete(id);
+      this.#monitors.delete(id);
     }
-    for (const id of wanted) {
-      if (this.#monitoring.has(id)) continue;
+    for (const id of monitoredIds) {
+      if (this.#monitors.has(id)) continue;
       const stop = new AbortController();
-      this.#monitoring.set(id, { stop, done: this.#monitor(id, stop.signal) });
+      this.#monitors.set(id, { stop, done: this.#monitorPeer(id, stop.signal) });
     }
   }
 
   #recentPeers(): InstanceId[] {
-    return [...this.#versions.keys()]
+    return [...this.#lastMessages.keys()]
       .filter((id) => this.#table.member(id)?.state !== 'left')
       .slice(-maxRecentPeers);
   }
 
-  #pick(count: number, isWanted: (member: Member) => boolean): Member[] {
-    const found = this.members.value.filter((member) => member.fleetUrl !== '' && isWanted(member));
+  #pickRandom(count: number, isEligible: (member: Member) => boolean): Member[] {
+    const eligible = this.members.value.filter(
+      (member) => member.fleetUrl !== '' && isEligible(member),
+    );
     const picked: Member[] = [];
-    while (picked.length < count && found.length > 0) {
-      const at = Math.floor(this.#options.random() * found.length);
-      picked.push(...found.splice(at, 1));
+    while (picked.length < count && eligible.length > 0) {
+      const index = Math.floor(this.#options.random() * eligible.length);
+      picked.push(...eligible.splice(index, 1));
     }
     return picked;
   }
--- a/packages/fleet/src/NoFleetLinks/index.ts
+++ b/packages/fleet/src/NoFleetLinks/index.ts
@@ -1,12 +1,12 @@
 import { FleetLinks } from '../FleetLinks/index.js';
 
-/** The links of an instance that has no peers: nothing is sent and nothing arrives. */
+/** Null implementation for an instance without peers: sends nothing and receives nothing. */
 export class NoFleetLinks extends FleetLinks {
   override send(): void {
-    // There is nobody to send to.
+    // Without peers there is no recipient.
   }
 
   override setPeers(): void {
-    // Peers are never spoken to.
+    // Peers are ignored, since no messages are sent.
   }
 }
--- a/packages/fleet/src/Registrations/index.ts
+++ b/packages/fleet/src/Registrations/index.ts
@@ -2,7 +2,7 @@
 import type { ListedInstance, ObjectStore, StoredObject } from '@acaciacrank/store';
 import { z } from 'zod';
 
-/** What an instance says of itself in the store. */
+/** The registration of an instance, as stored in the object store. */
 export interface Registration {
   readonly instanceId: InstanceId;
   readonly runId: string;
@@ -11,10 +11,12 @@
   readonly failureDomain: FailureDomainId;
   /** `ws://IP:PORT` where peers connect. */
   readonly fleetUrl: string;
-  /** Drawn anew at each start; whoever connects has to prove that it could read it here. */
+  /**
+   * Random key, new at each start. A connecting peer must prove that it has read it from the store.
+   */
   readonly linkKey: string;
   readonly state: 'live' | 'leaving';
-  /** Rises while the instance lives and reaches the store. */
+  /** Counter that rises with each write while the instance runs and reaches the store. */
   readonly heartbeat: number;
 }
 
@@ -23,28 +25,32 @@
   store: ObjectStore;
   clock: Clock;
   self: Omit<Registration, 'heartbeat' | 'state'>;
-  /** Called after each list with the other instances. */
+  /** Called with the other instances after each successful read of the list. */
   onList: (others: readonly ListedInstance[]) => void;
-  /** Called after each try to list with whether it succeeded. */
+  /** Called after each attempt to read the list, with whether it succeeded. */
   onTry?: (isListed: boolean) => void;
 }
 
-/** Where registrations lie in the store. */
+/** Key prefix of registrations in the store. */
 export const registrationPrefix = 'instances/';
 
-/** How often this instance writes that it lives, in milliseconds. Each write is a priced call. */
-const heartbeatMs = 4_000;
-/** How often the list is read, in milliseconds; stale reads cost a tenth. */
-const listMs = 1_000;
+/** Interval between heartbeat writes, in milliseconds. Each write is a billed store call. */
+const heartbeatIntervalMs = 4_000;
 /**
- * An instance whose heartbeat rose less than this long ago may live though no peer reaches it, in
- * milliseconds. Longer than the 9 s for which the store may turn an instance away.
+ * Interval between reads of the list, in milliseconds; stale reads cost a tenth of current ones.
  */
-const mayLiveMs = 12_000;
-/** A registration without heartbeats for this long is removed by whoever sees it, in milliseconds. */
-const forgottenMs = 120_000;
-/** The longest step by which one list advances the age of heartbeats, in milliseconds. */
-const longestListStepMs = 1_500;
+const listIntervalMs = 1_000;
+/**
+ * An instance whose heartbeat rose within this time may be running even if no peer reaches it, in
+ * milliseconds. Longer than the 9 s for which the store may reject calls of an instance.
+ */
+const possiblyRunningMs = 12_000;
+/**
+ * Any instance removes a registration whose heartbeat has not risen for this long, in milliseconds.
+ */
+const registrationExpiryMs = 120_000;
+/** Maximum time by which one read of the list advances the age of heartbeats, in milliseconds. */
+const maxListClockStepMs = 1_500;
 
 const registrationSchema = z.object({
   instanceId: z.string(),
@@ -57,26 +63,27 @@
   heartbeat: z.number(),
 });
 
-interface Seen {
+interface SeenRegistration {
   readonly registration: Registration;
   readonly version: number;
-  /** When the heartbeat last rose, by the clock of successful lists. */
-  readonly heardAtMs: number;
-  /** When it is to be removed for want of heartbeats, by the same clock. */
+  /** When the heartbeat last rose, on the list clock, which advances only with successful reads. */
+  readonly heartbeatAtMs: number;
+  /** When the registration expires unless the heartbeat rises, on the same clock. */
   removeAtMs: number;
 }
 
 /**
- * The instances that are registered in the store: how they find each other and prove themselves.
+ * Registers this instance in the store and lists the others, for discovery and link keys.
  *
- * Who is alive is not judged here but by `Membership`, over links: the store may turn an instance
- * away that serves and is reached, and goes on listing one that is gone. A heartbeat only tells that
- * an instance which nobody reaches may live all the same. Heartbeats age only while lists succeed.
+ * Failure detection is not done here but by `Membership`, over links: the store may reject calls of
+ * an instance that serves requests and is reachable by peers, and still lists one that is gone. A
+ * heartbeat only shows that an instance no peer reaches may still be running. Heartbeats age only
+ * while the list can be read.
  */
 export class Registrations implements Disposable {
   readonly #options: RegistrationsOptions;
   readonly #stop = new AbortController();
-  readonly #seen = new Map<InstanceId, Seen>();
+  readonly #seen = new Map<InstanceId, SeenRegistration>();
   #state: 'live' | 'leaving' = 'live';
   #heartbeat = 0;
   #listClockMs = 0;
@@ -86,30 +93,36 @@
     this.#options = options;
   }
 
-  /** How long ago the store's list was read, in milliseconds; undefined before it ever was. */
+  /**
+   * Time since the last successful read of the list, in milliseconds; undefined before the first.
+   */
   get listAgeMs(): number | undefined {
     if (this.#listedAtMs === undefined) return undefined;
     return this.#options.clock.monotonicMs() - this.#listedAtMs;
   }
 
-  /** The key that proves this instance to a peer; undefined for one that is not registered. */
+  /**
+   * The key that authenticates this instance to a peer; undefined when the peer is not registered.
+   */
   keyOf(id: InstanceId): string | undefined {
     return this.#seen.get(id)?.registration.linkKey;
   }
 
-  /** The other instances that may live by what the store told, whether or not anybody reaches them. */
+  /**
+   * Other instances that may be running according to their heartbeats, whether or not reachable.
+   */
   mayLive(): InstanceId[] {
     return [...this.#seen]
-      .filter(([, { heardAtMs }]) => this.#listClockMs - heardAtMs <= mayLiveMs)
+      .filter(([, { heartbeatAtMs }]) => this.#listClockMs - heartbeatAtMs <= possiblyRunningMs)
       .map(([id]) => id);
   }
 
-  /** Registers and follows the others until disposed of. */
+  /** Writes heartbeats and reads the list until disposed of. */
   async run(): Promise<void> {
-    await Promise.all([this.#beat(), this.#follow()]);
+    await Promise.all([this.#runHeartbeats(), this.#runListing()]);
   }
 
-  /** Tells the others that this instance leaves. */
+  /** Marks the registration of this instance as `leaving`. */
   async leave(): Promise<void> {
     this.#state = 'leaving';
     await this.#register();
@@ -130,15 +143,15 @@
     return `${registrationPrefix}${this.#options.self.instanceId}`;
   }
 
-  async #beat(): Promise<void> {
+  async #runHeartbeats(): Promise<void> {
     const { clock } = this.#options;
     while (!this.#stop.signal.aborted) {
       try {
         await this.#register();
       } catch {
-        // The follower of the configuration tells of a store that is away; the next beat is soon.
+        // The configuration follower reports an unavailable store; the next heartbeat retries soon.
       }
-      await clock.sleep(heartbeatMs, this.#stop.signal);
+      await clock.sleep(heartbeatIntervalMs, this.#stop.signal);
     }
   }
 
@@ -149,22 +162,22 @@
     await store.write(this.#key, registration, { kind: 'none' });
   }
 
-  async #follow(): Promise<void> {
+  async #runListing(): Promise<void> {
     const { clock, store, onTry } = this.#options;
     while (!this.#stop.signal.aborted) {
       try {
         const { objects } = await store.snapshot(registrationPrefix, { isStaleAllowed: true });
-        this.#take(objects);
+        this.#applyList(objects);
         onTry?.(true);
       } catch {
-        // Without a list what is known stands; see the class comment.
+        // The last known registrations stay valid; see the class comment.
         onTry?.(false);
       }
-      await clock.sleep(listMs, this.#stop.signal);
+      await clock.sleep(listIntervalMs, this.#stop.signal);
     }
   }
 
-  #take(objects: readonly StoredObject[]): void {
+  #applyList(objects: readonly StoredObject[]): void {
     this.#advanceListClock();
     const listed = new Set<InstanceId>();
     for (const stored of objects) {
@@ -173,43 +186,43 @@
       const registration = parsed.data as Registration;
       if (registration.instanceId === this.#options.self.instanceId) continue;
       listed.add(registration.instanceId);
-      this.#see(registration, stored.version);
+      this.#updateSeen(registration, stored.version);
     }
     for (const [instanceId, seen] of this.#seen) {
       if (!listed.has(instanceId)) this.#seen.delete(instanceId);
-      else this.#removeForgotten(seen);
+      else this.#removeIfExpired(seen);
     }
     const known = [...this.#seen.values()].map(({ registration }) => registration);
-    this.#options.onList(known.map(listedOf));
+    this.#options.onList(known.map(toListedInstance));
   }
 
   #advanceListClock(): void {
     const nowMs = this.#options.clock.monotonicMs();
     const elapsedMs = nowMs - (this.#listedAtMs ?? nowMs);
-    this.#listClockMs += Math.min(elapsedMs, longestListStepMs);
+    this.#listClockMs += Math.min(elapsedMs, maxListClockStepMs);
     this.#listedAtMs = nowMs;
   }
 
-  #see(registration: Registration, version: number): void {
+  #updateSeen(registration: Registration, version: number): void {
     const known = this.#seen.get(registration.instanceId);
-    // A stale list may show an older registration than one that was seen before.
+    // A stale read may return an older version than one already seen.
     if (known !== undefined && version <= known.version) return;
-    const heardAtMs = this.#listClockMs;
-    const removeAtMs = heardAtMs + forgottenMs;
-    this.#seen.set(registration.instanceId, { registration, version, heardAtMs, removeAtMs });
+    const heartbeatAtMs = this.#listClockMs;
+    const removeAtMs = heartbeatAtMs + registrationExpiryMs;
+    this.#seen.set(registration.instanceId, { registration, version, heartbeatAtMs, removeAtMs });
   }
 
-  #removeForgotten(seen: Seen): void {
+  #removeIfExpired(seen: SeenRegistration): void {
     if (this.#listClockMs < seen.removeAtMs) return;
-    seen.removeAtMs += forgottenMs;
+    seen.removeAtMs += registrationExpiryMs;
     const key = `${registrationPrefix}${seen.registration.instanceId}`;
     this.#options.store.remove(key, seen.version).catch(() => {
-      // Another instance will see it too and try again.
+      // This instance or another one tries again later.
     });
   }
 }
 
-function listedOf(registration: Registration): ListedInstance {
+function toListedInstance(registration: Registration): ListedInstance {
   const { instanceId: id, callerAddress, fleetUrl, failureDomain, state } = registration;
   return { id, role: 'entry', url: `http://${callerAddress}`, fleetUrl, failureDomain, state };
 }
--- a/packages/fleet/src/Registrations/test.ts
+++ b/packages/fleet/src/Registrations/test.ts
@@ -9,52 +9,52 @@
 } from '@acaciacrank/store';
 import { registrationPrefix, Registrations } from './index.js';
 
-/** Objects that all users share. */
+/** A store whose objects are shared by all clients, each of which can be cut off separately. */
 class SharedStore extends ObjectStore {
   readonly objects = new Map<string, StoredObject>();
-  readonly #away: () => boolean;
+  readonly #isUnreachable: () => boolean;
 
-  constructor(shared: SharedStore | undefined, away: () => boolean) {
+  constructor(shared: SharedStore | undefined, isUnreachable: () => boolean) {
     super();
-    this.#away = away;
+    this.#isUnreachable = isUnreachable;
     if (shared !== undefined) this.objects = shared.objects;
   }
 
   override read(key: string): Promise<StoredObject | undefined> {
-    return this.#answer(this.objects.get(key));
+    return this.#respond(this.objects.get(key));
   }
 
   override write(key: string, value: unknown): Promise<WriteResult> {
-    if (this.#away()) return this.#answer({ outcome: 'conflict' });
+    if (this.#isUnreachable()) return this.#respond({ outcome: 'conflict' });
     const version = (this.objects.get(key)?.version ?? 0) + 1;
     this.objects.set(key, { key, version, value });
-    return this.#answer({ outcome: 'written', version });
+    return this.#respond({ outcome: 'written', version });
   }
 
   override remove(key: string, version: number): Promise<WriteResult> {
-    if (!this.#away()) this.objects.delete(key);
-    return this.#answer({ outcome: 'written', version });
+    if (!this.#isUnreachable()) this.objects.delete(key);
+    return this.#respond({ outcome: 'written', version });
   }
 
   override snapshot(): Promise<StoreSnapshot> {
-    return this.#answer({ objects: [...this.objects.values()], revision: 1 });
+    return this.#respond({ objects: [...this.objects.values()], revision: 1 });
   }
 
   override watch(): Promise<StoreChanges> {
-    return this.#answer({ changes: [], revision: 1 });
+    return this.#respond({ changes: [], revision: 1 });
   }
 
-  #answer<Value>(value: Value): Promise<Value> {
-    if (!this.#away()) return Promise.resolve(value);
-    return Promise.reject(new RouterError('storeUnavailable', 'away'));
+  #respond<Value>(value: Value): Promise<Value> {
+    if (!this.#isUnreachable()) return Promise.resolve(value);
+    return Promise.reject(new RouterError('storeUnavailable', 'the store cannot be reached'));
   }
 }
 
 function start(clock: ManualClock, shared: SharedStore, name: string) {
-  const cut = { isAway: false };
+  const cut = { isStoreUnreachable: false };
   const listed: string[][] = [];
   const registrations = new Registrations({
-    store: new SharedStore(shared, () => cut.isAway),
+    store: new SharedStore(shared, () => cut.isStoreUnreachable),
     clock,
     self: {
       instanceId: name as InstanceId,
@@ -72,7 +72,7 @@
 
 const b = 'b' as InstanceId;
 
-test('instances find each other, with the keys that prove them', async (t) => {
+test('instances discover each other and their link keys', async (t) => {
   const clock = new ManualClock();
   const shared = new SharedStore(undefined, () => false);
   const { registrations, listed } = start(clock, shared, 'a');
@@ -83,8 +83,8 @@
   t.is(registrations.keyOf('x' as InstanceId), undefined);
 });
 
-// Guards against a share that stays with an instance that is gone for good.
-test('an instance whose heartbeats stop does not live for all that the store tells', async (t) => {
+// Guards against reserving a share of a limit for an instance that is gone for good.
+test('an instance whose heartbeats stop no longer counts as possibly running', async (t) => {
   const clock = new ManualClock();
   const shared = new SharedStore(undefined, () => false);
   const first = start(clock, shared, 'a');
@@ -96,25 +96,26 @@
   t.deepEqual(first.registrations.mayLive(), []);
 });
 
-// Guards against taking others for gone in an outage, in which nobody can write heartbeats.
-test('heartbeats do not age while the store is away', async (t) => {
+// Guards against treating others as gone during a store outage, when no instance can write
+// heartbeats.
+test('heartbeats do not age while the store is unreachable', async (t) => {
   const clock = new ManualClock();
   const shared = new SharedStore(undefined, () => false);
   const first = start(clock, shared, 'a');
   const second = start(clock, shared, 'b');
   await clock.advance(2_000);
-  first.cut.isAway = true;
-  second.cut.isAway = true;
+  first.cut.isStoreUnreachable = true;
+  second.cut.isStoreUnreachable = true;
   await clock.advance(30_000);
   t.deepEqual(first.registrations.mayLive(), [b]);
-  first.cut.isAway = false;
-  second.cut.isAway = false;
+  first.cut.isStoreUnreachable = false;
+  second.cut.isStoreUnreachable = false;
   await clock.advance(5_000);
   t.deepEqual(first.registrations.mayLive(), [b]);
 });
 
-// Guards against registrations of instances that were replaced, which would stay for ever.
-test('a registration that is long without heartbeats is removed', async (t) => {
+// Guards against registrations of replaced instances that are never removed.
+test('a registration without heartbeats is removed after its expiry', async (t) => {
   const clock = new ManualClock();
   const shared = new SharedStore(undefined, () => false);
   start(clock, shared, 'a');
--- a/packages/fleet/src/WsFleetLinks/index.ts
+++ b/packages/fleet/src/WsFleetLinks/index.ts
@@ -11,7 +11,12 @@
 import { WebSocket, WebSocketServer } from 'ws';
 import { FleetLinks } from '../FleetLinks/index.js';
 import { FrameSocket } from '../_lib/FrameSocket/index.js';
-import { accept, initiate, LinkRefusal, type LinkIdentity } from '../_lib/handshake/index.js';
+import {
+  acceptHandshake,
+  initiateHandshake,
+  LinkRefusedError,
+  type LinkIdentity,
+} from '../_lib/handshake/index.js';
 import { decodeMessage, encodeFrame } from '../encodeMessage/index.js';
 import type { FleetMessage, FleetPeer } from '../types.js';
 
@@ -21,48 +26,51 @@
   random: Random;
   metrics: Metrics;
   log: Log;
-  /** Time between two pings of a connection, in milliseconds. */
+  /** Interval between two pings of a connection, in milliseconds; 1,000 by default. */
   pingMs?: number;
-  /** A connection on which nothing was heard for so long is replaced, in milliseconds. */
+  /**
+   * A connection on which nothing is received for this long is terminated, and replaced at the next
+   * send, in milliseconds; 3,000 by default.
+   */
   silenceMs?: number;
-  /** A connection on which nothing was said for so long is closed, in milliseconds. */
+  /** A connection without messages for this long is closed, in milliseconds; 60,000 by default. */
   idleMs?: number;
-  /** How long a connection may take to come about, in milliseconds. */
+  /** Timeout for establishing a connection, in milliseconds; 3,000 by default. */
   connectMs?: number;
-  /** The key that proves this instance to a peer; where there is none, this instance's own do. */
+  /** Returns the key that authenticates this instance to a peer; undefined to use `keys`. */
   keyOf?: (peer: InstanceId) => string | undefined;
 }
 
-/** The largest message, in bytes: an object of the store and some room. */
+/** Maximum message size, in bytes: fits an object of the store with room to spare. */
 const maxMessageBytes = 2 * 1_048_576;
-/** How many messages wait for a connection to one peer. */
+/** Maximum number of messages that wait for a connection to one peer. */
 const maxQueuedMessages = 128;
-/** Bytes that may wait in one connection before messages are dropped. */
+/** Maximum bytes buffered in one connection; beyond that, messages are dropped. */
 const maxBufferedBytes = 4 * 1_048_576;
-/** Connections that others may hold open to this instance. */
+/** Maximum number of connections accepted from peers at a time. */
 const maxAcceptedConnections = 1_024;
-/** Bounds of the wait before a connection is tried again, in milliseconds. */
-const backOffMs = { first: 100, most: 1_000 };
-/** Close code for a peer that was refused. */
-const refusedCode = 4_401;
+/** Bounds of the exponential back-off between connection attempts, in milliseconds. */
+const backOffMs = { initial: 100, max: 1_000 };
+/** WebSocket close code for a peer that failed authentication. */
+const refusedCloseCode = 4_401;
 
-/** One peer: what waits to be sent to it, and the connection that it goes over. */
+/** A peer with its send queue and its current connection. */
 interface Peer {
   readonly id: InstanceId;
   url: string | undefined;
   readonly queue: Uint8Array[];
-  /** The newest connection with a finished handshake, whichever side opened it. */
+  /** The latest connection with a completed handshake, whichever side opened it. */
   socket: FrameSocket | undefined;
-  /** Wakes the task of the peer. */
+  /** Wakes the connection task of the peer. */
   wake: () => void;
   isStopped: boolean;
 }
 
 /**
- * Links over WebSockets: one task a peer, which connects when there is something to say.
+ * Links over WebSockets, with one task per peer that connects when messages are queued.
  *
- * Connections are opened on demand and closed when idle, so that their number follows whom this
- * instance speaks to and not the size of the fleet.
+ * Connections are opened on demand and closed when idle, so that their number depends on how many
+ * peers this instance exchanges messages with and not on the size of the fleet.
  */
 export class WsFleetLinks extends FleetLinks implements AsyncDisposable {
   readonly #options: Required<WsFleetLinksOptions>;
@@ -86,8 +94,8 @@
   /**
    * Listens for peers.
    *
-   * @param address - an IP number, and a port or 0
-   * @returns the port
+   * @param address - an IP address, and a port or 0 for any free port
+   * @returns the port it listens on
    * @throws Error when the address is in use
    */
   async listen(address: { ip: string; port: number }): Promise<number> {
@@ -99,7 +107,7 @@
     });
     server.on('connection', (socket) => {
       if (server.clients.size > maxAcceptedConnections) socket.terminate();
-      else void this.#takeConnection(this.#frames(socket));
+      else void this.#acceptConnection(this.#createFrameSocket(socket));
     });
     await new Promise<void>((resolve, reject) => {
       server.once('listening', resolve);
@@ -121,7 +129,7 @@
   }
 
   override send(to: InstanceId, message: FleetMessage): void {
-    const peer = this.#peerOf(to);
+    const peer = this.#getOrAddPeer(to);
     const frame = encodeFrame(message);
     if (peer.socket?.isOpen === true) this.#sendNow(peer.socket, frame);
     else if (peer.queue.length >= maxQueuedMessages)
@@ -134,27 +142,27 @@
   }
 
   override setPeers(peers: readonly FleetPeer[]): void {
-    const named = new Set(peers.map(({ id }) => id));
+    const listedIds = new Set(peers.map(({ id }) => id));
     for (const { id, fleetUrl } of peers) {
       if (id === this.#options.instanceId) continue;
-      const peer = this.#peerOf(id);
+      const peer = this.#getOrAddPeer(id);
       if (peer.url !== undefined && peer.url !== fleetUrl) peer.socket?.[Symbol.dispose]();
       peer.url = fleetUrl;
     }
     for (const peer of this.#peers.values()) {
-      // A peer that connected from outside the list stays: the list may lag behind it.
-      if (!named.has(peer.id) && peer.url !== undefined) this.#forget(peer);
+      // Peers that connected without having been listed are kept, since the list may lag.
+      if (!listedIds.has(peer.id) && peer.url !== undefined) this.#removePeer(peer);
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    for (const peer of this.#peers.values()) this.#forget(peer);
+    for (const peer of this.#peers.values()) this.#removePeer(peer);
     for (const socket of this.#sockets) socket[Symbol.dispose]();
     await this.#owned.dispose();
   }
 
-  #peerOf(id: InstanceId): Peer {
+  #getOrAddPeer(id: InstanceId): Peer {
     const known = this.#peers.get(id);
     if (known !== undefined) return known;
     const peer: Peer = {
@@ -170,14 +178,14 @@
     return peer;
   }
 
-  #forget(peer: Peer): void {
+  #removePeer(peer: Peer): void {
     this.#peers.delete(peer.id);
     peer.isStopped = true;
     peer.socket?.[Symbol.dispose]();
     peer.wake();
   }
 
-  /** The task of one peer: connects while something waits, with growing jittered pauses. */
+  /** Connects to one peer while messages are queued, with jittered exponential back-off. */
   async #runPeer(peer: Peer): Promise<void> {
     const { clock, random } = this.#options;
     let failures = 0;
@@ -191,11 +199,12 @@
       const isConnected = await this.#connect(peer, peer.url);
       failures = isConnected ? 0 : failures + 1;
       if (isConnected) continue;
-      // What waited is old by the time the peer is back; heartbeats and questions are made anew.
+      // Queued messages are outdated once the peer is back; heartbeats and requests are created
+      // again.
       this.#count('linkMessagesDropped', 'unreachable', peer.queue.length);
       peer.queue.length = 0;
-      const pauseMs = Math.min(backOffMs.most, backOffMs.first * 2 ** Math.min(failures, 10));
-      await clock.sleep(pauseMs * (0.5 + random() / 2), this.#stop.signal);
+      const delayMs = Math.min(backOffMs.max, backOffMs.initial * 2 ** Math.min(failures, 10));
+      await clock.sleep(delayMs * (0.5 + random() / 2), this.#stop.signal);
     }
   }
 
@@ -205,73 +214,73 @@
       perMessageDeflate: false,
       handshakeTimeout: this.#options.connectMs,
     });
-    const frames = this.#frames(socket);
+    const frameSocket = this.#createFrameSocket(socket);
     try {
-      await opened(socket);
+      await waitUntilOpen(socket);
       const key = this.#options.keyOf(peer.id);
       const identity = { ...this.#options, ...(key === undefined ? {} : { keys: [key] }) };
-      await initiate(frames, identity, peer.id, this.#options.clock);
+      await initiateHandshake(frameSocket, identity, peer.id, this.#options.clock);
     } catch (error) {
-      this.#refuse(frames, error);
+      this.#closeFailedConnection(frameSocket, error);
       return false;
     }
-    this.#adopt(peer, frames);
-    void this.#readFrom(peer.id, frames);
+    this.#setConnection(peer, frameSocket);
+    void this.#readMessages(peer.id, frameSocket);
     return true;
   }
 
-  /** The task of one accepted connection. */
-  async #takeConnection(frames: FrameSocket): Promise<void> {
+  /** Performs the handshake on an accepted connection and reads its messages. */
+  async #acceptConnection(frameSocket: FrameSocket): Promise<void> {
     let from: InstanceId;
     try {
-      from = await accept(frames, this.#options, this.#options.clock);
+      from = await acceptHandshake(frameSocket, this.#options, this.#options.clock);
     } catch (error) {
-      this.#refuse(frames, error);
+      this.#closeFailedConnection(frameSocket, error);
       return;
     }
-    this.#adopt(this.#peerOf(from), frames);
-    await this.#readFrom(from, frames);
+    this.#setConnection(this.#getOrAddPeer(from), frameSocket);
+    await this.#readMessages(from, frameSocket);
   }
 
-  #adopt(peer: Peer, frames: FrameSocket): void {
-    peer.socket = frames;
-    for (const frame of peer.queue.splice(0)) this.#sendNow(frames, frame);
+  #setConnection(peer: Peer, frameSocket: FrameSocket): void {
+    peer.socket = frameSocket;
+    for (const frame of peer.queue.splice(0)) this.#sendNow(frameSocket, frame);
   }
 
-  async #readFrom(from: InstanceId, frames: FrameSocket): Promise<void> {
+  async #readMessages(from: InstanceId, frameSocket: FrameSocket): Promise<void> {
     for (;;) {
-      const frame = await frames.next();
+      const frame = await frameSocket.next();
       if (frame === undefined) break;
       const message = decodeMessage(frame);
       if (message === undefined) this.#count('linkMessagesRefused', from);
       else this.deliver(message, from);
     }
-    this.#sockets.delete(frames);
-    frames[Symbol.dispose]();
+    this.#sockets.delete(frameSocket);
+    frameSocket[Symbol.dispose]();
   }
 
-  #frames(socket: WebSocket): FrameSocket {
+  #createFrameSocket(socket: WebSocket): FrameSocket {
     const { clock, pingMs, silenceMs, idleMs } = this.#options;
     const onSilent = () => {
       this.#count('linksSilent');
     };
-    const frames = new FrameSocket(socket, { clock, pingMs, silenceMs, idleMs, onSilent });
-    this.#sockets.add(frames);
-    return frames;
+    const frameSocket = new FrameSocket(socket, { clock, pingMs, silenceMs, idleMs, onSilent });
+    this.#sockets.add(frameSocket);
+    return frameSocket;
   }
 
-  #refuse(frames: FrameSocket, error: unknown): void {
-    this.#sockets.delete(frames);
-    if (error instanceof LinkRefusal) {
+  #closeFailedConnection(frameSocket: FrameSocket, error: unknown): void {
+    this.#sockets.delete(frameSocket);
+    if (error instanceof LinkRefusedError) {
       this.#count('linksRefused', error.code);
-      frames.close(refusedCode, error.code);
+      frameSocket.close(refusedCloseCode, error.code);
     } else {
       this.#count('linksFailed', error instanceof RouterError ? error.kind : 'connect');
-      frames[Symbol.dispose]();
+      frameSocket[Symbol.dispose]();
     }
   }
 
-  /** Drops rather than waits: a peer that reads slowly must not hold this instance's memory. */
+  /** Drops the message if too much is buffered, so that a slow peer cannot exhaust the memory. */
   #sendNow(socket: FrameSocket, frame: Uint8Array): void {
     if (socket.bufferedBytes > maxBufferedBytes) {
       this.#count('linkMessagesDropped', 'slowPeer');
@@ -287,12 +296,12 @@
   }
 }
 
-function opened(socket: WebSocket): Promise<void> {
+function waitUntilOpen(socket: WebSocket): Promise<void> {
   return new Promise((resolve, reject) => {
     socket.once('open', resolve);
     socket.once('error', reject);
     socket.once('close', () => {
-      reject(new Error('the connection was closed'));
+      reject(new Error('the connection was closed before it opened'));
     });
   });
 }
--- a/packages/fleet/src/WsFleetLinks/test.ts
+++ b/packages/fleet/src/WsFleetLinks/test.ts
@@ -15,27 +15,30 @@
 const a = 'a' as InstanceId;
 const b = 'b' as InstanceId;
 const log = createLog('test', { level: 'fatal' });
-const changed = (version: number): FleetMessage => ({ kind: 'configurationChanged', version });
+const configurationChanged = (version: number): FleetMessage => ({
+  kind: 'configurationChanged',
+  version,
+});
 
-interface End {
+interface Endpoint {
   readonly links: WsFleetLinks;
   readonly metrics: Metrics;
   readonly port: number;
   readonly versions: number[];
 }
 
-interface EndOptions {
+interface EndpointOptions {
   readonly keys?: string[];
   readonly keyOf?: () => string | undefined;
   readonly environment?: string;
 }
 
-async function openEnd(
+async function openEndpoint(
   owned: DisposableStore,
   clock: ManualClock,
   instanceId: InstanceId,
-  { keys = ['first-key'], environment = 'test', keyOf = () => undefined }: EndOptions = {},
-): Promise<End> {
+  { keys = ['first-key'], environment = 'test', keyOf = () => undefined }: EndpointOptions = {},
+): Promise<Endpoint> {
   const metrics = new Metrics();
   const random = createRandom(1);
   const options = { instanceId, environment, keys, keyOf, clock, random, metrics, log };
@@ -47,21 +50,21 @@
   return { links, metrics, versions, port: await links.listen({ ip: '127.0.0.1', port: 0 }) };
 }
 
-/** Lets sockets work, without time passing, until something is so. */
-async function eventually(isSo: () => boolean): Promise<void> {
+/** Processes socket events, without advancing the clock, until a condition is met. */
+async function waitUntil(isMet: () => boolean): Promise<void> {
   for (let turn = 0; turn < 100_000; turn += 1) {
-    if (isSo()) return;
+    if (isMet()) return;
     await setImmediate();
   }
-  throw new Error('it never came to be');
+  throw new Error('the condition was not met in time');
 }
 
-function nameEachOther(first: End, second: End, portOfSecond = second.port): void {
+function setPeersOfBoth(first: Endpoint, second: Endpoint, portOfSecond = second.port): void {
   first.links.setPeers([{ id: b, fleetUrl: `ws://127.0.0.1:${portOfSecond}` }]);
   second.links.setPeers([{ id: a, fleetUrl: `ws://127.0.0.1:${first.port}` }]);
 }
 
-/** A way between two ends that can lose track of the connections that pass it. */
+/** A TCP proxy that can silently stop forwarding the data of its connections. */
 async function openMiddlebox(owned: DisposableStore, toPort: number) {
   const pairs: (readonly [Socket, Socket])[] = [];
   const server = createServer((near) => {
@@ -81,81 +84,92 @@
       for (const socket of pairs.flat()) socket.destroy();
     },
   });
-  const forget = () => {
+  const dropPackets = () => {
     for (const [near, far] of pairs) {
       near.unpipe(far).resume();
       far.unpipe(near).resume();
     }
   };
-  return { port: (server.address() as AddressInfo).port, forget, connections: () => pairs.length };
+  return {
+    port: (server.address() as AddressInfo).port,
+    dropPackets,
+    connections: () => pairs.length,
+  };
 }
 
-test('messages arrive in order, and an answer goes back over the same connection', async (t) => {
+test('messages arrive in order, and a reply uses the same connection', async (t) => {
   await using owned = new DisposableStore();
   const clock = new ManualClock();
-  const [first, second] = [await openEnd(owned, clock, a), await openEnd(owned, clock, b)];
+  const [first, second] = [
+    await openEndpoint(owned, clock, a),
+    await openEndpoint(owned, clock, b),
+  ];
   first.links.setPeers([{ id: b, fleetUrl: `ws://127.0.0.1:${second.port}` }]);
-  for (const version of [1, 2, 3]) first.links.send(b, changed(version));
-  await eventually(() => second.versions.length === 3);
+  for (const version of [1, 2, 3]) first.links.send(b, configurationChanged(version));
+  await waitUntil(() => second.versions.length === 3);
   t.deepEqual(second.versions, [1, 2, 3]);
-  second.links.send(a, changed(9));
-  await eventually(() => first.versions.length === 1);
+  second.links.send(a, configurationChanged(9));
+  await waitUntil(() => first.versions.length === 1);
   t.deepEqual(first.versions, [9]);
 });
 
-// Grants stop moving between two instances though both are well. A device between them has lost
-// track of their connection: sends vanish without an error, while new connections work.
-test('a connection that went silent is found by its pings and replaced', async (t) => {
+// A device on the path between two healthy instances drops its state for their connection:
+// messages, such as transfers of grants, are lost without an error, while new connections work.
+test('a connection that stops delivering is detected by pings and replaced', async (t) => {
   await using owned = new DisposableStore();
   const clock = new ManualClock();
-  const [first, second] = [await openEnd(owned, clock, a), await openEnd(owned, clock, b)];
+  const [first, second] = [
+    await openEndpoint(owned, clock, a),
+    await openEndpoint(owned, clock, b),
+  ];
   const middlebox = await openMiddlebox(owned, second.port);
-  nameEachOther(first, second, middlebox.port);
-  first.links.send(b, changed(1));
-  await eventually(() => second.versions.length === 1);
-  middlebox.forget();
-  first.links.send(b, changed(2));
+  setPeersOfBoth(first, second, middlebox.port);
+  first.links.send(b, configurationChanged(1));
+  await waitUntil(() => second.versions.length === 1);
+  middlebox.dropPackets();
+  first.links.send(b, configurationChanged(2));
   await clock.advance(5_000);
   t.is(first.metrics.counter('linksSilent'), 1);
-  first.links.send(b, changed(3));
-  await eventually(() => second.versions.includes(3));
+  first.links.send(b, configurationChanged(3));
+  await waitUntil(() => second.versions.includes(3));
   t.deepEqual(second.versions, [1, 3]);
   t.is(middlebox.connections(), 2);
 });
 
-// Someone starts an instance with an old key file. It must get nothing from the fleet, and the
-// operators must see why.
+// An instance started with an outdated key file must not receive any messages, and the reason must
+// be visible to operators.
 test('a peer with a wrong key is refused and counted', async (t) => {
   await using owned = new DisposableStore();
   const clock = new ManualClock();
-  const first = await openEnd(owned, clock, a, { keys: ['stolen'] });
-  const second = await openEnd(owned, clock, b);
-  nameEachOther(first, second);
-  first.links.send(b, changed(1));
-  await eventually(() => first.metrics.counter('linksRefused', 'wrongKey') === 1);
-  second.links.send(a, changed(1));
-  await eventually(() => second.metrics.counter('linksRefused', 'wrongKey') === 1);
+  const first = await openEndpoint(owned, clock, a, { keys: ['stolen'] });
+  const second = await openEndpoint(owned, clock, b);
+  setPeersOfBoth(first, second);
+  first.links.send(b, configurationChanged(1));
+  await waitUntil(() => first.metrics.counter('linksRefused', 'wrongKey') === 1);
+  second.links.send(a, configurationChanged(1));
+  await waitUntil(() => second.metrics.counter('linksRefused', 'wrongKey') === 1);
   t.deepEqual([first.versions, second.versions], [[], []]);
   t.is(first.metrics.counter('linkMessagesSent') + second.metrics.counter('linkMessagesSent'), 0);
 });
 
-// The trial environment's settings name a production instance by mistake. Its configuration must
-// not leak into the other environment, even though both were given the same key.
+// The settings of a trial environment contain a production instance by mistake. The configuration
+// must not leak into the other environment, even if both use the same key.
 test('a peer of another environment is refused and counted', async (t) => {
   await using owned = new DisposableStore();
   const clock = new ManualClock();
-  const first = await openEnd(owned, clock, a, { environment: 'trial' });
-  const second = await openEnd(owned, clock, b, { environment: 'production' });
-  nameEachOther(first, second);
-  first.links.send(b, changed(1));
-  await eventually(() => second.metrics.counter('linksRefused', 'otherEnvironment') === 1);
-  await eventually(() => first.metrics.counter('linkMessagesDropped', 'unreachable') === 1);
+  const first = await openEndpoint(owned, clock, a, { environment: 'trial' });
+  const second = await openEndpoint(owned, clock, b, { environment: 'production' });
+  setPeersOfBoth(first, second);
+  first.links.send(b, configurationChanged(1));
+  await waitUntil(() => second.metrics.counter('linksRefused', 'otherEnvironment') === 1);
+  await waitUntil(() => first.metrics.counter('linkMessagesDropped', 'unreachable') === 1);
   t.deepEqual(second.versions, []);
 });
 
-// Operators replace the links' key instance by instance. At no step may two instances be unable to
-// speak: first all accept the new key, then all prove with it, then the old one goes.
-test('every pair of neighbouring steps of a key rotation can speak', async (t) => {
+// Operators rotate the link key one instance at a time, so two consecutive steps are in use at
+// once: first all instances accept the new key, then all use it for proofs, then the old one is
+// removed.
+test('instances at consecutive steps of a key rotation can communicate', async (t) => {
   const steps = [['old'], ['old', 'new'], ['new', 'old'], ['new']];
   for (let step = 0; step < steps.length - 1; step += 1) {
     for (const [mine, theirs] of [
@@ -164,40 +178,41 @@
     ] as [string[], string[]][]) {
       await using owned = new DisposableStore();
       const clock = new ManualClock();
-      const first = await openEnd(owned, clock, a, { keys: mine });
-      const second = await openEnd(owned, clock, b, { keys: theirs });
-      nameEachOther(first, second);
-      first.links.send(b, changed(step));
-      await eventually(() => second.versions.length === 1);
+      const first = await openEndpoint(owned, clock, a, { keys: mine });
+      const second = await openEndpoint(owned, clock, b, { keys: theirs });
+      setPeersOfBoth(first, second);
+      first.links.send(b, configurationChanged(step));
+      await waitUntil(() => second.versions.length === 1);
       t.deepEqual(second.versions, [step], `${mine.join()} to ${theirs.join()}`);
     }
   }
 });
 
-test('what waits for an unreachable peer is bounded, and dropped with a count', async (t) => {
+test('the queue for an unreachable peer is bounded, and dropped messages counted', async (t) => {
   await using owned = new DisposableStore();
-  const first = await openEnd(owned, new ManualClock(), a);
+  const first = await openEndpoint(owned, new ManualClock(), a);
   first.links.setPeers([{ id: b, fleetUrl: 'ws://127.0.0.1:1' }]);
-  for (let version = 0; version < 200; version += 1) first.links.send(b, changed(version));
+  for (let version = 0; version < 200; version += 1)
+    first.links.send(b, configurationChanged(version));
   t.is(first.metrics.counter('linkMessagesDropped', 'queueFull'), 200 - 128);
-  await eventually(() => first.metrics.counter('linkMessagesDropped', 'unreachable') === 128);
+  await waitUntil(() => first.metrics.counter('linkMessagesDropped', 'unreachable') === 128);
 });
 
-// Each instance draws a key of its own at its start. One that was started again refuses whoever still
-// holds the key of its last life, and is reached again once the new key is known.
-test('a peer is reached with the key that it has now', async (t) => {
+// Each instance generates its own key when it starts. After a restart it refuses peers that still
+// use its previous key, and is reachable again once they have read the new one.
+test('a restarted peer is reachable once its new key is known', async (t) => {
   await using owned = new DisposableStore();
   const clock = new ManualClock();
-  let known = 'an older key';
-  const first = await openEnd(owned, clock, a, { keys: ['key of a'], keyOf: () => known });
-  const second = await openEnd(owned, clock, b, { keys: ['key of b'] });
+  let knownKey = 'an older key';
+  const first = await openEndpoint(owned, clock, a, { keys: ['key of a'], keyOf: () => knownKey });
+  const second = await openEndpoint(owned, clock, b, { keys: ['key of b'] });
   first.links.setPeers([{ id: b, fleetUrl: `ws://127.0.0.1:${second.port}` }]);
-  first.links.send(b, changed(1));
-  await eventually(() => first.metrics.counter('linkMessagesDropped', 'unreachable') > 0);
+  first.links.send(b, configurationChanged(1));
+  await waitUntil(() => first.metrics.counter('linkMessagesDropped', 'unreachable') > 0);
   t.deepEqual(second.versions, []);
-  known = 'key of b';
+  knownKey = 'key of b';
   await clock.advance(10_000);
-  first.links.send(b, changed(2));
-  await eventually(() => second.versions.length > 0);
+  first.links.send(b, configurationChanged(2));
+  await waitUntil(() => second.versions.length > 0);
   t.deepEqual(second.versions, [2]);
 });
--- a/packages/fleet/src/_lib/FrameSocket/index.ts
+++ b/packages/fleet/src/_lib/FrameSocket/index.ts
@@ -4,85 +4,89 @@
 /** Options of {@link FrameSocket}. */
 export interface FrameSocketOptions {
   clock: Clock;
-  /** Time between two pings, in milliseconds. */
+  /**
+   * Interval between two checks of the connection, which send a ping when needed, in milliseconds.
+   */
   pingMs: number;
-  /** A connection on which nothing was heard for so long is ended, in milliseconds. */
+  /** A connection on which nothing is received for this long is terminated, in milliseconds. */
   silenceMs: number;
-  /** A connection on which no frame passed for so long is closed, in milliseconds. */
+  /**
+   * A connection on which no frame is sent or received for this long is closed, in milliseconds.
+   */
   idleMs: number;
+  /** Called when the connection is terminated because nothing was received. */
   onSilent: () => void;
 }
 
 /**
- * One WebSocket as a sequence of frames.
+ * A WebSocket as a sequence of frames, with detection of half-open connections.
  *
- * Guards against a connection that went silent for good, because something between the two ends has
- * lost track of it: neither end sees an error and sends vanish, while a new connection works. Where
- * nothing is heard pings go out, and where they are not answered either the connection is ended, so
+ * A device on the path, such as a NAT or a firewall, can drop its state for a connection: neither
+ * end sees an error and everything sent is lost, while a new connection would work. When nothing is
+ * received, pings are sent; when they are not answered either, the connection is terminated, so
  * that the next send opens a new one.
  */
 export class FrameSocket implements Disposable {
   readonly #socket: WebSocket;
   readonly #options: FrameSocketOptions;
-  readonly #inbox: Uint8Array[] = [];
+  readonly #receivedFrames: Uint8Array[] = [];
   #wake: (() => void) | undefined;
   #isClosed = false;
-  #heardMs: number;
-  #frameMs: number;
-  #timer: Disposable;
+  #lastReceivedAtMs: number;
+  #lastFrameAtMs: number;
+  #checkTimer: Disposable;
 
   constructor(socket: WebSocket, options: FrameSocketOptions) {
     this.#socket = socket;
     this.#options = options;
-    this.#heardMs = options.clock.monotonicMs();
-    this.#frameMs = this.#heardMs;
+    this.#lastReceivedAtMs = options.clock.monotonicMs();
+    this.#lastFrameAtMs = this.#lastReceivedAtMs;
     socket.on('message', (data) => {
-      this.#hear();
-      this.#frameMs = this.#heardMs;
-      this.#inbox.push(bytesOf(data));
+      this.#markReceived();
+      this.#lastFrameAtMs = this.#lastReceivedAtMs;
+      this.#receivedFrames.push(toBytes(data));
       this.#wake?.();
     });
     socket.on('ping', () => {
-      this.#hear();
+      this.#markReceived();
     });
     socket.on('pong', () => {
-      this.#hear();
+      this.#markReceived();
     });
     socket.on('close', () => {
       this.#onClose();
     });
-    // Each error is followed by a close, which is what the reader sees.
+    // Each `error` event is followed by `close`, which ends `next`.
     socket.on('error', () => undefined);
-    this.#timer = this.#watch();
+    this.#checkTimer = this.#scheduleCheck();
   }
 
-  /** Whether frames may still be sent. */
+  /** Whether frames can still be sent. */
   get isOpen(): boolean {
     return !this.#isClosed && this.#socket.readyState === this.#socket.OPEN;
   }
 
-  /** Bytes that were sent and have not left this machine. */
+  /** Bytes queued by `send` and not yet transmitted to the network. */
   get bufferedBytes(): number {
     return this.#socket.bufferedAmount;
   }
 
-  /** Sends one frame. */
   send(frame: Uint8Array): void {
-    this.#frameMs = this.#options.clock.monotonicMs();
+    this.#lastFrameAtMs = this.#options.clock.monotonicMs();
     this.#socket.send(frame, () => undefined);
   }
 
-  /** The next frame; undefined when the connection has ended. */
+  /** Resolves with the next received frame; undefined when the connection is closed. */
   async next(): Promise<Uint8Array | undefined> {
-    while (this.#inbox.length === 0 && !this.#isClosed) {
+    while (this.#receivedFrames.length === 0 && !this.#isClosed) {
       await new Promise<void>((resolve) => {
         this.#wake = resolve;
       });
     }
-    return this.#inbox.shift();
+    return this.#receivedFrames.shift();
   }
 
-  /** Ends the connection, telling the peer why. */
+  /** Closes the connection with a code and a reason for the peer. */
   close(code: number, reason: string): void {
     this.#socket.close(code, reason);
     this.#options.clock.schedule(200, () => {
@@ -95,40 +99,41 @@
     this.#onClose();
   }
 
-  #hear(): void {
-    this.#heardMs = this.#options.clock.monotonicMs();
+  #markReceived(): void {
+    this.#lastReceivedAtMs = this.#options.clock.monotonicMs();
   }
 
   #onClose(): void {
     this.#isClosed = true;
-    this.#timer[Symbol.dispose]();
+    this.#checkTimer[Symbol.dispose]();
     this.#wake?.();
   }
 
-  #watch(): Disposable {
+  #scheduleCheck(): Disposable {
     const { clock, pingMs } = this.#options;
     return clock.schedule(pingMs, () => {
       if (this.#isClosed) return;
-      this.#check(clock.monotonicMs());
-      if (!this.#isClosed) this.#timer = this.#watch();
+      this.#checkActivity(clock.monotonicMs());
+      if (!this.#isClosed) this.#checkTimer = this.#scheduleCheck();
     });
   }
 
-  #check(nowMs: number): void {
+  #checkActivity(nowMs: number): void {
     const { pingMs, silenceMs, idleMs, onSilent } = this.#options;
-    if (nowMs - this.#heardMs > silenceMs) {
+    if (nowMs - this.#lastReceivedAtMs > silenceMs) {
       onSilent();
       this[Symbol.dispose]();
-    } else if (nowMs - this.#frameMs > idleMs) {
+    } else if (nowMs - this.#lastFrameAtMs > idleMs) {
       this.#socket.close(1000, 'idle');
-    } else if (this.isOpen && nowMs - this.#heardMs >= pingMs) {
-      // What was heard just now proves as much as an answer to a ping.
+    } else if (this.isOpen && nowMs - this.#lastReceivedAtMs >= pingMs) {
+      // No ping is sent while anything was received within `pingMs`, which proves as much as a
+      // pong.
       this.#socket.ping();
     }
   }
 }
 
-function bytesOf(data: RawData): Uint8Array {
+function toBytes(data: RawData): Uint8Array {
   if (Array.isArray(data)) return Buffer.concat(data);
   return data instanceof ArrayBuffer ? new Uint8Array(data) : data;
 }
--- a/packages/fleet/src/_lib/handshake/index.ts
+++ b/packages/fleet/src/_lib/handshake/index.ts
@@ -1,9 +1,10 @@
 /**
- * How two instances prove to each other that they hold a key of the same environment.
+ * Mutual authentication of two instances by a shared key of their environment.
  *
- * Each sends a fresh nonce and answers the other's with an HMAC over both nonces, both ids, the
- * environment and its own role, so that no proof can be replayed or reflected. The key itself never
- * travels. Two keys are valid at once while keys are replaced: the first proves, all verify.
+ * Each side sends a fresh nonce and answers the other's with an HMAC over both nonces, both
+ * instance ids, the environment and its own role, so that proofs cannot be replayed or reflected.
+ * The key itself is never sent. During key rotation two keys are valid: proofs are made with the
+ * first, and verified with all.
  */
 import { RouterError, withTimeout, type Clock, type InstanceId } from '@acaciacrank/base';
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
@@ -11,11 +12,11 @@
 import { decodeFrame, encodeFrame } from '../../encodeMessage/index.js';
 import type { FrameSocket } from '../FrameSocket/index.js';
 
-/** Who this instance is towards its peers. */
+/** Identity and keys that this instance authenticates itself to peers with. */
 export interface LinkIdentity {
   readonly instanceId: InstanceId;
   readonly environment: string;
-  /** Shared secrets; the first one proves, each one verifies. */
+  /** Shared secrets: proofs are made with the first, and verified with any of them. */
   readonly keys: readonly string[];
 }
 
@@ -35,71 +36,77 @@
 type Role = 'initiator' | 'acceptor';
 
 /**
- * Opens a link: this side speaks first.
+ * Performs the handshake on the side that opened the connection, which sends first.
  *
- * @param socket - a fresh connection
- * @param identity - who this instance is
- * @param to - who must be at the other end
- * @throws RouterError `unauthenticated` when the peer is another one, of another environment, or
- *   holds none of the keys; `peerUnavailable` when it ends the connection or is too slow
+ * @param socket - a new connection
+ * @param identity - identity of this instance
+ * @param to - the instance that must be at the other end
+ * @throws RouterError `unauthenticated` when the peer is another instance, belongs to another
+ *   environment, holds none of the keys, or sends an invalid message; `peerUnavailable` when it
+ *   closes the connection or the handshake times out
  */
-export function initiate(
+export function initiateHandshake(
   socket: FrameSocket,
   identity: LinkIdentity,
   to: InstanceId,
   clock: Clock,
 ): Promise<void> {
-  return bounded(clock, async () => {
-    const mine = helloOf(identity);
-    socket.send(encodeFrame(mine));
-    const theirs = await read(socket, challengeSchema);
-    checkPeer(identity, theirs);
-    if (theirs.instanceId !== to)
-      throw refused('otherInstance', `${theirs.instanceId} is not ${to}`);
-    verify(identity, 'acceptor', mine, theirs, theirs.proof);
-    socket.send(encodeFrame({ proof: prove(identity, 'initiator', mine, theirs) }));
-    await read(socket, z.object({ welcome: z.literal(true) }));
+  return withHandshakeTimeout(clock, async () => {
+    const ownHello = createHello(identity);
+    socket.send(encodeFrame(ownHello));
+    const peerHello = await readFrame(socket, challengeSchema);
+    checkPeer(identity, peerHello);
+    if (peerHello.instanceId !== to)
+      throw createRefusedError(
+        'otherInstance',
+        `the peer identified itself as ${peerHello.instanceId}, expected ${to}`,
+      );
+    verifyProof(identity, 'acceptor', ownHello, peerHello, peerHello.proof);
+    socket.send(encodeFrame({ proof: createProof(identity, 'initiator', ownHello, peerHello) }));
+    await readFrame(socket, z.object({ welcome: z.literal(true) }));
   });
 }
 
 /**
- * Takes a link: the other side speaks first.
+ * Performs the handshake on the side that accepted the connection.
  *
- * @returns who the peer has proved to be
- * @throws as {@link initiate}
+ * @returns the authenticated id of the peer
+ * @throws the same errors as {@link initiateHandshake}
  */
-export function accept(
+export function acceptHandshake(
   socket: FrameSocket,
   identity: LinkIdentity,
   clock: Clock,
 ): Promise<InstanceId> {
-  return bounded(clock, async () => {
-    const theirs = await read(socket, helloSchema);
-    checkPeer(identity, theirs);
-    const mine = helloOf(identity);
-    socket.send(encodeFrame({ ...mine, proof: prove(identity, 'acceptor', theirs, mine) }));
-    const { proof } = await read(socket, proofSchema);
-    verify(identity, 'initiator', theirs, mine, proof);
+  return withHandshakeTimeout(clock, async () => {
+    const peerHello = await readFrame(socket, helloSchema);
+    checkPeer(identity, peerHello);
+    const ownHello = createHello(identity);
+    socket.send(
+      encodeFrame({ ...ownHello, proof: createProof(identity, 'acceptor', peerHello, ownHello) }),
+    );
+    const { proof } = await readFrame(socket, proofSchema);
+    verifyProof(identity, 'initiator', peerHello, ownHello, proof);
     socket.send(encodeFrame({ welcome: true }));
-    return theirs.instanceId as InstanceId;
+    return peerHello.instanceId as InstanceId;
   });
 }
 
-/** A refusal; `code` is what it is counted under. */
-export class LinkRefusal extends RouterError {
+/** A failed authentication; `code` is the metrics label that it is counted under. */
+export class LinkRefusedError extends RouterError {
   readonly code: 'otherEnvironment' | 'otherInstance' | 'wrongKey' | 'badHandshake';
 
-  constructor(code: LinkRefusal['code'], message: string) {
+  constructor(code: LinkRefusedError['code'], message: string) {
     super('unauthenticated', message);
     this.code = code;
   }
 }
 
-function refused(code: LinkRefusal['code'], message: string): LinkRefusal {
-  return new LinkRefusal(code, message);
+function createRefusedError(code: LinkRefusedError['code'], message: string): LinkRefusedError {
+  return new LinkRefusedError(code, message);
 }
 
-function helloOf({ environment, instanceId }: LinkIdentity): Hello {
+function createHello({ environment, instanceId }: LinkIdentity): Hello {
   return {
     protocol: protocolVersion,
     environment,
@@ -110,10 +117,13 @@
 
 function checkPeer(identity: LinkIdentity, peer: Hello): void {
   if (peer.environment === identity.environment) return;
-  throw refused('otherEnvironment', `${peer.instanceId} is of environment ${peer.environment}`);
+  throw createRefusedError(
+    'otherEnvironment',
+    `${peer.instanceId} belongs to environment ${peer.environment}`,
+  );
 }
 
-function macOf(key: string, role: Role, initiator: Hello, acceptor: Hello): Buffer {
+function computeMac(key: string, role: Role, initiator: Hello, acceptor: Hello): Buffer {
   const parts = [initiator, acceptor].flatMap(({ environment, instanceId, nonce }) => [
     environment,
     instanceId,
@@ -124,39 +134,54 @@
     .digest();
 }
 
-function prove(identity: LinkIdentity, role: Role, initiator: Hello, acceptor: Hello): Buffer {
-  return macOf(identity.keys[0] ?? '', role, initiator, acceptor);
+function createProof(
+  identity: LinkIdentity,
+  role: Role,
+  initiator: Hello,
+  acceptor: Hello,
+): Buffer {
+  return computeMac(identity.keys[0] ?? '', role, initiator, acceptor);
 }
 
-function verify(
+function verifyProof(
   { keys }: LinkIdentity,
   role: Role,
   initiator: Hello,
   acceptor: Hello,
   proof: Uint8Array,
 ): void {
-  const isProved = keys.some((key) => {
-    const expected = macOf(key, role, initiator, acceptor);
+  const isValid = keys.some((key) => {
+    const expected = computeMac(key, role, initiator, acceptor);
     return proof.length === expected.length && timingSafeEqual(proof, expected);
   });
-  if (!isProved) throw refused('wrongKey', 'the peer holds none of the keys of this instance');
+  if (!isValid)
+    throw createRefusedError(
+      'wrongKey',
+      'the proof of the peer matches none of the keys of this instance',
+    );
 }
 
-async function read<Schema extends z.ZodType>(
+async function readFrame<Schema extends z.ZodType>(
   socket: FrameSocket,
   schema: Schema,
 ): Promise<z.infer<Schema>> {
   const frame = await socket.next();
   if (frame === undefined)
-    throw new RouterError('peerUnavailable', 'the peer ended the connection');
+    throw new RouterError('peerUnavailable', 'the peer closed the connection during the handshake');
   const parsed = schema.safeParse(decodeFrame(frame));
   if (parsed.success) return parsed.data;
-  throw refused('badHandshake', 'the peer does not speak this protocol');
+  throw createRefusedError('badHandshake', 'the peer sent an invalid handshake message');
 }
 
-/** How long a handshake may take, in milliseconds. */
-const handshakeMs = 3_000;
+/** Time limit for the whole handshake, in milliseconds. */
+const handshakeTimeoutMs = 3_000;
 
-function bounded<Value>(clock: Clock, work: () => Promise<Value>): Promise<Value> {
-  return withTimeout(clock, handshakeMs, work, { kind: 'peerUnavailable', what: 'the handshake' });
+function withHandshakeTimeout<Value>(
+  clock: Clock,
+  handshake: () => Promise<Value>,
+): Promise<Value> {
+  return withTimeout(clock, handshakeTimeoutMs, handshake, {
+    kind: 'peerUnavailable',
+    what: 'the handshake',
+  });
 }
--- a/packages/fleet/src/encodeMessage/index.ts
+++ b/packages/fleet/src/encodeMessage/index.ts
@@ -1,9 +1,9 @@
 /**
- * Messages between instances as bytes.
+ * Encoding of messages between instances, as MessagePack.
  *
- * Guards against damaged messages: with msgpackr's native string reader, which the package's main
- * entry loads where it can, about one test run in twenty read a heartbeat with its strings in the
- * wrong fields. The entries named here never load it.
+ * The entry points `msgpackr/pack` and `msgpackr/unpack` never load msgpackr's native string
+ * reader, which the main entry point loads where available. With the native reader, about one test
+ * run in twenty decoded a heartbeat with its strings in the wrong fields.
  */
 import { pack } from 'msgpackr/pack';
 import { unpack } from 'msgpackr/unpack';
@@ -11,7 +11,7 @@
 import type { FleetMessage } from '../types.js';
 
 /**
- * Encodes any value of a link.
+ * Encodes a handshake message or any other message as one frame.
  *
  * @example
  * encodeFrame({ welcome: true }).length;
@@ -22,9 +22,9 @@
 }
 
 /**
- * Decodes what a peer sent, without checking its shape.
+ * Decodes a frame from a peer without validating it.
  *
- * @returns undefined when it is no whole frame
+ * @returns the value; undefined when the frame is malformed or truncated
  *
  * @example
  * decodeFrame(encodeFrame({ welcome: true }));
@@ -39,9 +39,9 @@
 }
 
 /**
- * Decodes and checks a message.
+ * Decodes and validates a message.
  *
- * @returns undefined when it is none that this instance knows
+ * @returns the message; undefined when it is malformed or of an unknown kind
  *
  * @example
  * decodeMessage(encodeFrame({ kind: 'configurationChanged', version: 2 }))?.kind;
--- a/packages/fleet/src/encodeMessage/test.ts
+++ b/packages/fleet/src/encodeMessage/test.ts
@@ -2,7 +2,7 @@
 import * as codec from 'msgpackr/unpack';
 import { decodeMessage, encodeFrame } from './index.js';
 
-test('what is no message of this fleet is refused, not thrown', (t) => {
+test('an invalid message decodes to undefined instead of throwing', (t) => {
   t.is(decodeMessage(Buffer.from([0xc1])), undefined);
   t.is(decodeMessage(new Uint8Array()), undefined);
   t.is(decodeMessage(encodeFrame({ kind: 'unheardOf' })), undefined);
@@ -10,8 +10,8 @@
   t.like(decodeMessage(encodeFrame({ kind: 'configurationChanged', version: 2 })), { version: 2 });
 });
 
-// About one test run in twenty read heartbeats whose strings had moved into other fields, so that a
-// member's state was another member's address. The native string reader of the codec did that.
+// With msgpackr's native string reader, about one test run in twenty decoded heartbeats whose
+// strings were in the wrong fields, for example one member's address as another member's state.
 test('the native string reader is not loaded', (t) => {
   // Exported, but missing from the package's types.
   t.is((codec as Record<string, unknown>).isNativeAccelerationEnabled, false);
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Other instances as peers: links, questions over them, and who is alive.
+ * Communication between the instances of the fleet: links, remote procedure calls, gossip-based
+ * membership and distribution of configuration versions.
  */
 export type * from './types.js';
 export * from './messageSchemas/index.js';
--- a/packages/fleet/src/messageSchemas/index.ts
+++ b/packages/fleet/src/messageSchemas/index.ts
@@ -1,7 +1,7 @@
 /**
- * Checks what peers send: a peer may run another version, or be broken.
+ * Schemas that validate messages from peers, which may run another version or be faulty.
  *
- * To add a message, add its schema here and to its union; the type follows by itself.
+ * To add a message, add its schema to the union here; the type is inferred from it.
  */
 import type {
   AccountId,
@@ -15,36 +15,36 @@
 import { z } from 'zod';
 
 const instanceId = z.string().min(1).max(64) as unknown as z.ZodType<InstanceId>;
-/** Upstreams in one reply at most; more would not fit a message. */
+/** Maximum number of upstreams in one reply; more would exceed the maximum message size. */
 const maxUpstreams = 4_096;
-const counter = z.number().int().nonnegative();
+const nonNegativeInteger = z.number().int().nonnegative();
 
-/** A budget as the ledger names it. */
+/** Identifies a budget in the ledger. */
 const budgetSchema = z.object({
   accountId: z.string().max(256) as unknown as z.ZodType<AccountId>,
   budgetId: z.string().max(256) as unknown as z.ZodType<BudgetId>,
-  openingTokens: counter,
+  openingTokens: nonNegativeInteger,
 });
 
-/** Tokens of a grant that its holder passes on. */
+/** Tokens of a grant that its holder transfers to another instance. */
 const transferSchema = z.object({
   grantId: z.string().max(256) as unknown as z.ZodType<GrantId>,
-  tokens: counter,
+  tokens: nonNegativeInteger,
   remainingMs: z.number().nonnegative(),
 });
 
-/** A lifetime of an instance, as the ledger names it. */
-const lifetime = z.string().max(128);
+/** Identifies one run of an instance in the ledger. */
+const lifetimeId = z.string().max(128);
 
-/** What a peer asks the home of an account's prepaid tokens for. */
+/** A request for prepaid tokens to the instance that manages those of the account. */
 const loanSchema = z.object({
   accountId: z.string().max(256) as unknown as z.ZodType<AccountId>,
-  borrower: lifetime,
-  limitVersion: counter,
-  givenTo: lifetime,
-  givenTokens: counter,
-  neededTokens: counter,
-  wantedTokens: counter,
+  borrower: lifetimeId,
+  limitVersion: nonNegativeInteger,
+  givenTo: lifetimeId,
+  givenTokens: nonNegativeInteger,
+  neededTokens: nonNegativeInteger,
+  wantedTokens: nonNegativeInteger,
 });
 
 /** An upstream as the store lists it. */
@@ -52,35 +52,40 @@
   id: z.string().max(256) as unknown as z.ZodType<UpstreamId>,
   service: z.string().max(256) as unknown as z.ZodType<ServiceName>,
   ip: z.string().max(64),
-  port: counter,
+  port: nonNegativeInteger,
   failureDomain: z.string().max(64) as unknown as z.ZodType<FailureDomainId>,
   slots: z.number().positive(),
   state: z.enum(['live', 'leaving']),
   startedAtMs: z.number().int().optional(),
 });
 
-/** A rate limit from an upstream's answer; ages are relative to when the message is sent. */
+/** A rate limit from an upstream's response; ages are relative to when the message is sent. */
 const upstreamLimitSchema = z.object({
   upstreamId: z.string().max(256) as unknown as z.ZodType<UpstreamId>,
   /** Identifies the run of the upstream. */
   startedAtMs: z.number().int().optional(),
-  /** What the upstream accepts from all instances combined; null if it no longer sets a limit. */
+  /** Limit for all instances combined; null if the upstream no longer sets a limit. */
   requestsPerSecond: z.number().nonnegative().nullable(),
-  /** How long ago the request was sent, and its answer received, in milliseconds. */
+  /** How long ago the request was sent, and its response received, in milliseconds. */
   sentAgeMs: z.number().nonnegative(),
   receivedAgeMs: z.number().nonnegative(),
 });
 
-/** Checks what one instance says of a member, itself included. */
+/** A record of a member, sent by the member itself or by any other. */
 export const memberRecordSchema = z.object({
   id: instanceId,
-  /** Names one life of the instance; another life has another one. */
+  /** Identifies one run of the instance's process; differs after each restart. */
   life: z.string().max(32),
-  /** Orders what is said of a member; only the member itself raises it. 0: never heard of. */
-  incarnation: counter,
-  /** What the member says of itself. */
+  /**
+   * Orders the records of a member; only the member itself raises it. 0: no record was received
+   * from the member yet.
+   */
+  incarnation: nonNegativeInteger,
+  /** The state that the member announced. */
   state: z.enum(['starting', 'live', 'leaving', 'left']),
-  /** Whether somebody who could not reach the member, also not by way of others, doubts it. */
+  /**
+   * Whether an instance suspects the member because neither it nor others could reach the member.
+   */
   isSuspect: z.boolean(),
   /** `http://IP:PORT` for callers. */
   url: z.string().max(128),
@@ -89,49 +94,53 @@
   failureDomain: z.string().max(64),
 });
 
-const heartbeatFields = {
-  /** Pairs a heartbeat with its acknowledgement. */
-  sequence: counter,
+const gossipFields = {
+  /** Matches an acknowledgement to its heartbeat. */
+  sequence: nonNegativeInteger,
   /** The sender's highest configuration version in force; 0 for none. */
-  configurationVersion: counter,
-  /** A hash of the sender's view; peers whose hashes differ send each other slices of theirs. */
-  viewHash: counter,
-  /** What the sender says of itself first, then of others. */
+  configurationVersion: nonNegativeInteger,
+  /**
+   * A hash of the sender's view; peers whose hashes differ send each other slices of their views.
+   */
+  viewHash: nonNegativeInteger,
+  /** The sender's own record first, then records of other members. */
   records: z.array(memberRecordSchema).max(32),
 };
 
-/** Checks one question that a peer answers; see `FleetQuestions`. */
-export const fleetQuestionSchema = z.discriminatedUnion('kind', [
-  /** "Can you reach this member?" */
+/** A request to a peer. */
+export const fleetRequestSchema = z.discriminatedUnion('kind', [
+  /** Asks whether the peer can reach a member. */
   z.object({ kind: z.literal('probe'), target: instanceId }),
-  /** "Which configuration is newer than this one?" */
-  z.object({ kind: z.literal('manifest'), aboveVersion: counter }),
-  /** "What is in this object of a configuration?" */
+  /** Asks for the peer's manifest if its version is above the given one. */
+  z.object({ kind: z.literal('manifest'), aboveVersion: nonNegativeInteger }),
+  /** Asks for an object of the peer's configuration. */
   z.object({ kind: z.literal('configurationObject'), digest: z.string().max(128) }),
-  /** "Give your idle tokens of this budget back to its page." */
+  /** Asks the peer to return its unused tokens of a budget to the budget's ledger page. */
   z.object({ kind: z.literal('giveBack'), budget: budgetSchema }),
-  /** "Pass me tokens of this budget"; `life` names the life of the instance that asks. */
+  /** Asks the peer to transfer tokens of a budget; `life` identifies the run of the requester. */
   z.object({
     kind: z.literal('handOver'),
     life: z.string().max(64),
     budget: budgetSchema,
-    tokens: counter,
+    tokens: nonNegativeInteger,
   }),
-  /** "Lend me prepaid tokens, and take in what I gave you"; see `LoanQuestion` of the ledger. */
+  /** Asks for a loan of prepaid tokens; see the loan types of the ledger package. */
   z.object({ kind: z.literal('prepaidTokens'), loan: loanSchema }),
-  /** "Which upstreams does the store tell you of?" */
+  /** Asks for the upstreams that the peer knows from the store. */
   z.object({ kind: z.literal('upstreams') }),
 ]);
 
-/** Checks one reply to a question. */
+/** A reply to a request. */
 export const fleetReplySchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('probe'), isReachable: z.boolean() }),
-  /** `manifest` is checked by the package that owns it; undefined when there is no newer one. */
+  /**
+   * `manifest` is validated by the package that defines it; undefined when there is no newer one.
+   */
   z.object({ kind: z.literal('manifest'), manifest: z.unknown().optional() }),
-  /** Checked against its digest by who asked; undefined when the peer does not have it. */
+  /** The requester verifies `text` against the digest; undefined when the peer does not have it. */
   z.object({ kind: z.literal('configurationObject'), text: z.string().optional() }),
   z.object({ kind: z.literal('giveBack') }),
-  /** The tokens are now the asker's, if it still lives the life that asked. */
+  /** The tokens belong to the requester, provided that it has not restarted since the request. */
   z.object({
     kind: z.literal('handOver'),
     life: z.string().max(64),
@@ -139,35 +148,35 @@
   }),
   z.object({
     kind: z.literal('prepaidTokens'),
-    lender: lifetime,
-    /** All tokens that the lender ever passed on to the asker's lifetime. */
-    lentTokens: counter,
+    lender: lifetimeId,
+    /** Total tokens that the lender has transferred to this run of the requester. */
+    lentTokens: nonNegativeInteger,
     outcome: z.enum(['lent', 'exhausted', 'heldElsewhere', 'storeAway', 'behind']),
   }),
-  /** `isCurrent` is false, and nothing is told, where the store is away from the peer too. */
+  /** `isCurrent` is false, and `records` empty, when the peer cannot reach the store either. */
   z.object({
     kind: z.literal('upstreams'),
     isCurrent: z.boolean(),
     records: z.array(upstreamSchema).max(maxUpstreams),
   }),
-  /** The peer could not answer. */
+  /** The peer could not handle the request. */
   z.object({ kind: z.literal('failed'), reason: z.string().max(512) }),
 ]);
 
-/** Checks one message between instances. */
+/** A message between instances. */
 export const fleetMessageSchema = z.discriminatedUnion('kind', [
-  /** Tells that the sender lives, and asks for an acknowledgement. */
-  z.object({ kind: z.literal('heartbeat'), ...heartbeatFields }),
-  z.object({ kind: z.literal('heartbeatAck'), ...heartbeatFields }),
-  /** A change that does not wait for the next heartbeat; not acknowledged. */
-  z.object({ kind: z.literal('news'), ...heartbeatFields }),
-  /** Tells that a newer configuration is in force at the sender, who answers for it. */
-  z.object({ kind: z.literal('configurationChanged'), version: counter }),
-  /** Rate limits that the sender knows from upstreams' answers. */
+  /** Shows that the sender is alive, and requests an acknowledgement. */
+  z.object({ kind: z.literal('heartbeat'), ...gossipFields }),
+  z.object({ kind: z.literal('heartbeatAck'), ...gossipFields }),
+  /** Changed records that do not wait for the next heartbeat; not acknowledged. */
+  z.object({ kind: z.literal('news'), ...gossipFields }),
+  /** Announces a newer configuration in force at the sender, from which it can be fetched. */
+  z.object({ kind: z.literal('configurationChanged'), version: nonNegativeInteger }),
+  /** Rate limits that the sender knows from responses of upstreams. */
   z.object({
     kind: z.literal('upstreamLimits'),
     limits: z.array(upstreamLimitSchema).max(512),
   }),
-  z.object({ kind: z.literal('ask'), askId: counter, question: fleetQuestionSchema }),
-  z.object({ kind: z.literal('reply'), askId: counter, reply: fleetReplySchema }),
+  z.object({ kind: z.literal('ask'), askId: nonNegativeInteger, question: fleetRequestSchema }),
+  z.object({ kind: z.literal('reply'), askId: nonNegativeInteger, reply: fleetReplySchema }),
 ]);
--- a/packages/fleet/src/types.ts
+++ b/packages/fleet/src/types.ts
@@ -1,16 +1,16 @@
 /**
- * What instances say to each other; the schemas are in `messageSchemas`.
+ * Messages between instances; their schemas are in `messageSchemas`.
  */
 import type { InstanceId } from '@acaciacrank/base';
 import type { z } from 'zod';
 import type {
   fleetMessageSchema,
-  fleetQuestionSchema,
+  fleetRequestSchema,
   fleetReplySchema,
   memberRecordSchema,
 } from './messageSchemas/index.js';
 
-/** One message between instances. */
+/** A message between instances. */
 export type FleetMessage = z.infer<typeof fleetMessageSchema>;
 
 /** A message of one kind. */
@@ -19,24 +19,24 @@
   { kind: Kind }
 >;
 
-/** A question that a peer answers. */
-export type FleetQuestion = z.infer<typeof fleetQuestionSchema>;
+/** A request that a peer replies to. */
+export type FleetRequest = z.infer<typeof fleetRequestSchema>;
 
-/** A reply to a question. */
+/** A reply to a request. */
 export type FleetReply = z.infer<typeof fleetReplySchema>;
 
 /** A reply of one kind. */
 export type FleetReplyOf<Kind extends FleetReply['kind']> = Extract<FleetReply, { kind: Kind }>;
 
-/** What one instance says of a member. */
+/** The gossiped record of a member. */
 export type MemberRecord = z.infer<typeof memberRecordSchema>;
 
-/** Where a peer's links listen. */
+/** Address on which a peer accepts links. */
 export interface FleetPeer {
   readonly id: InstanceId;
   /** `ws://IP:PORT`. */
   readonly fleetUrl: string;
 }
 
-/** Receives a message; `from` is who the link proved the sender to be. */
+/** Handles a received message; `from` is the authenticated id of the sender. */
 export type FleetMessageHandler = (message: FleetMessage, from: InstanceId) => void;
