--- a/packages/store/src/InstanceList/index.ts
+++ b/packages/store/src/InstanceList/index.ts
@@ -1,14 +1,14 @@
 import type { ListedInstance } from '../types.js';
 
 /**
- * The platform's list of live and leaving instances. It lags: an instance may be gone that is
- * listed, and live that is not.
+ * The platform's list of live and leaving instances. It lags: a listed instance may be gone, and a
+ * live instance may be missing.
  */
 export abstract class InstanceList {
   /**
-   * The list as the platform now believes it.
+   * Reads the current list.
    *
-   * @throws RouterError `storeUnavailable` when the platform does not answer
+   * @throws RouterError `storeUnavailable` when the platform does not respond
    */
   abstract read(): Promise<readonly ListedInstance[]>;
 }
--- a/packages/store/src/MemoryPlatform/index.ts
+++ b/packages/store/src/MemoryPlatform/index.ts
@@ -11,7 +11,7 @@
   WriteResult,
 } from '../types.js';
 
-/** Calls that the platform has answered, by kind. */
+/** Numbers of calls received by the platform, by kind. */
 export interface PlatformCalls {
   reads: number;
   writes: number;
@@ -21,7 +21,7 @@
 
 /** Options of {@link MemoryPlatform}. */
 export interface MemoryPlatformOptions {
-  /** Hand values over frozen in place of copied: faster, for users that never change a value. */
+  /** Return frozen values instead of copies: faster, for clients that never modify a value. */
   isSharing?: boolean;
 }
 
@@ -31,8 +31,8 @@
 }
 
 /**
- * The platform in the small: objects with versions, conditional writes, watches and a lagging list.
- * One of it stands for the platform; each user of it has its own {@link MemoryObjectStore}.
+ * In-memory platform with versioned objects, conditional writes, watches and a lagging instance
+ * list. Clients share one platform, each through its own {@link MemoryObjectStore}.
  */
 export class MemoryPlatform {
   readonly calls: PlatformCalls = { reads: 0, writes: 0, conflicts: 0, watches: 0 };
@@ -45,18 +45,18 @@
   #listed: readonly ListedInstance[] = [];
   #listedAtMs = -Infinity;
 
-  /** Sees every object as it is written, for checks that must hold at each version. */
+  /** Called with every written object, so that tests can check invariants at each version. */
   onCommit: (object: StoredObject) => void = () => undefined;
 
-  /** How far the instance list lags, in milliseconds. */
+  /** Lag of the instance list, in milliseconds. */
   listLagMs: number;
 
   readonly #copy: <Value>(value: Value) => Value;
 
   /**
-   * @param clock - measures watches and the list's lag
-   * @param listLagMs - how far the instance list lags, in milliseconds
-   * @param options - how values are kept
+   * @param clock - times watches and the lag of the list
+   * @param listLagMs - lag of the instance list, in milliseconds
+   * @param options - whether values are shared or copied
    */
   constructor(clock: Clock, listLagMs = 0, options: MemoryPlatformOptions = {}) {
     this.#clock = clock;
@@ -64,7 +64,7 @@
     this.#copy = options.isSharing === true ? deepFreeze : structuredClone;
   }
 
-  /** All objects, for checks. */
+  /** Returns all objects, without counting a call. */
   objects(): StoredObject[] {
     return [...this.#objects.values()];
   }
@@ -85,7 +85,7 @@
 
   write(key: string, value: unknown, condition: WriteCondition): WriteResult {
     this.calls.writes += 1;
-    if (!this.#holds(key, condition)) return this.#conflict();
+    if (!this.#isConditionMet(key, condition)) return this.#conflict();
     const version = this.#revision + 1;
     this.#commit(key, { key, version, value: this.#copy(value) });
     return { outcome: 'written', version };
@@ -93,13 +93,13 @@
 
   remove(key: string, version: number): WriteResult {
     this.calls.writes += 1;
-    if (!this.#holds(key, { kind: 'version', version })) return this.#conflict();
+    if (!this.#isConditionMet(key, { kind: 'version', version })) return this.#conflict();
     const removedVersion = this.#revision + 1;
     this.#commit(key, undefined);
     return { outcome: 'written', version: removedVersion };
   }
 
-  /** Waits until something under the prefix changed after the revision. */
+  /** Waits for a change under the prefix after the revision, for at most `waitMs`. */
   async watch(
     prefix: string,
     sinceRevision: number,
@@ -107,8 +107,9 @@
     signal: AbortSignal,
   ): Promise<StoreChanges> {
     this.calls.watches += 1;
-    const ready = this.#changesSince(prefix, sinceRevision);
-    if (ready.length > 0 || signal.aborted) return this.#answerWatch(ready, sinceRevision);
+    const pendingChanges = this.#changesSince(prefix, sinceRevision);
+    if (pendingChanges.length > 0 || signal.aborted)
+      return this.#toStoreChanges(pendingChanges, sinceRevision);
     const wakeUp = new AbortController();
     const waiter: Waiter = {
       prefix,
@@ -121,20 +122,20 @@
     await this.#clock.sleep(waitMs, wakeUp.signal);
     signal.removeEventListener('abort', waiter.wake);
     this.#waiters = this.#waiters.filter((other) => other !== waiter);
-    return this.#answerWatch(this.#changesSince(prefix, sinceRevision), sinceRevision);
+    return this.#toStoreChanges(this.#changesSince(prefix, sinceRevision), sinceRevision);
   }
 
-  /** Tells the platform of an instance, as its own machinery does. */
+  /** Adds or replaces an instance, which appears in the list after its lag. */
   setInstance(instance: ListedInstance): void {
     this.#instances.set(instance.id, instance);
   }
 
-  /** Takes an instance off the list. */
+  /** Removes an instance, which disappears from the list after its lag. */
   removeInstance(id: string): void {
     this.#instances.delete(id);
   }
 
-  /** The list as it was up to `listLagMs` ago. */
+  /** Returns the list as it was up to `listLagMs` ago. */
   instances(): readonly ListedInstance[] {
     const nowMs = this.#clock.monotonicMs();
     if (nowMs - this.#listedAtMs >= this.listLagMs) {
@@ -144,7 +145,7 @@
     return this.#listed;
   }
 
-  #holds(key: string, condition: WriteCondition): boolean {
+  #isConditionMet(key: string, condition: WriteCondition): boolean {
     const current = this.#objects.get(key);
     if (condition.kind === 'none') return true;
     if (condition.kind === 'absent') return current === undefined;
@@ -161,17 +162,17 @@
     else this.#objects.set(key, object);
     if (object !== undefined) this.onCommit(object);
     this.#revision += 1;
-    const older = this.#changes.findIndex((change) => change.key === key);
-    if (older >= 0) this.#changes.splice(older, 1);
+    const olderIndex = this.#changes.findIndex((change) => change.key === key);
+    if (olderIndex >= 0) this.#changes.splice(olderIndex, 1);
     this.#changes.push({ key, revision: this.#revision, object });
     for (const waiter of this.#waiters) if (key.startsWith(waiter.prefix)) waiter.wake();
   }
 
-  #answerWatch(changes: StoreChange[], sinceRevision: number): StoreChanges {
+  #toStoreChanges(changes: StoreChange[], sinceRevision: number): StoreChanges {
     return { changes, revision: changes.at(-1)?.revision ?? sinceRevision };
   }
 
-  /** Only the latest change of each key is kept: a watch that fell behind misses steps, not state. */
+  /** Only the latest change of each key is kept, so a late watch skips intermediate states. */
   #changesSince(prefix: string, sinceRevision: number): StoreChange[] {
     return this.#changes
       .filter((change) => change.revision > sinceRevision && change.key.startsWith(prefix))
@@ -179,17 +180,17 @@
   }
 }
 
-/** What can be wrong between one user and the platform. */
+/** Simulated faults of the link between one client and the platform. */
 export interface PlatformLink {
-  /** The platform cannot be reached. */
+  /** Whether the platform is unreachable. */
   isDown: boolean;
-  /** How long each call takes, in milliseconds. */
+  /** Latency of each call, in milliseconds. */
   delayMs: number;
-  /** How many of the next writes take effect and lose their answer. */
+  /** Number of upcoming writes that take effect but whose response is lost. */
   answersToLose: number;
 }
 
-/** One user's in-process view of the object store. */
+/** In-process object store of one client. */
 export class MemoryObjectStore extends ObjectStore {
   readonly link: PlatformLink = { isDown: false, delayMs: 0, answersToLose: 0 };
   readonly #platform: MemoryPlatform;
@@ -204,7 +205,7 @@
   }
 
   override async read(key: string): Promise<StoredObject | undefined> {
-    await this.#reach();
+    await this.#applyFaults();
     return this.#platform.read(key);
   }
 
@@ -213,17 +214,17 @@
     value: unknown,
     condition: WriteCondition,
   ): Promise<WriteResult> {
-    await this.#reach();
-    return this.#answer(this.#platform.write(key, value, condition));
+    await this.#applyFaults();
+    return this.#respond(this.#platform.write(key, value, condition));
   }
 
   override async remove(key: string, version: number): Promise<WriteResult> {
-    await this.#reach();
-    return this.#answer(this.#platform.remove(key, version));
+    await this.#applyFaults();
+    return this.#respond(this.#platform.remove(key, version));
   }
 
   override async snapshot(prefix: string): Promise<StoreSnapshot> {
-    await this.#reach();
+    await this.#applyFaults();
     return this.#platform.snapshot(prefix);
   }
 
@@ -232,27 +233,27 @@
     sinceRevision: number,
     signal: AbortSignal,
   ): Promise<StoreChanges> {
-    await this.#reach();
+    await this.#applyFaults();
     const changes = await this.#platform.watch(prefix, sinceRevision, this.#watchWaitMs, signal);
-    if (this.link.isDown) throw unavailable();
+    if (this.link.isDown) throw createUnavailableError();
     return changes;
   }
 
-  async #reach(): Promise<void> {
+  async #applyFaults(): Promise<void> {
     if (this.link.delayMs > 0) await this.#clock.sleep(this.link.delayMs);
-    if (this.link.isDown) throw unavailable();
+    if (this.link.isDown) throw createUnavailableError();
   }
 
-  #answer(result: WriteResult): WriteResult {
+  #respond(result: WriteResult): WriteResult {
     if (this.link.answersToLose > 0) {
       this.link.answersToLose -= 1;
-      throw unavailable();
+      throw createUnavailableError();
     }
     return result;
   }
 }
 
-/** One user's in-process view of the instance list. */
+/** In-process instance list of one client. */
 export class MemoryInstanceList extends InstanceList {
   readonly #platform: MemoryPlatform;
   readonly #link: PlatformLink;
@@ -264,16 +265,19 @@
   }
 
   override async read(): Promise<readonly ListedInstance[]> {
-    if (this.#link.isDown) throw unavailable();
+    if (this.#link.isDown) throw createUnavailableError();
     return this.#platform.instances();
   }
 }
 
-function unavailable(): RouterError {
+function createUnavailableError(): RouterError {
   return new RouterError('storeUnavailable', 'the platform did not answer');
 }
 
-/** Freezes a value and all it holds, so that a change by one user cannot reach another unseen. */
+/**
+ * Freezes a value recursively, so that a modification by one client throws instead of reaching
+ * others.
+ */
 function deepFreeze<Value>(value: Value): Value {
   if (typeof value !== 'object' || value === null || Object.isFrozen(value)) return value;
   Object.freeze(value);
--- a/packages/store/src/ObjectFollower/index.ts
+++ b/packages/store/src/ObjectFollower/index.ts
@@ -6,39 +6,46 @@
 export interface ObjectFollowerOptions {
   store: ObjectStore;
   clock: Clock;
-  /** Which objects to follow. */
+  /** Key prefix of the objects to follow. */
   prefix: string;
-  /** Everything under the prefix; replaces all that was told before. */
+  /** Called with all objects under the prefix; replaces everything reported before. */
   onSnapshot: (snapshot: StoreSnapshot) => void;
-  /** One change after the last snapshot. */
+  /** Called with each change after the last snapshot. */
   onChange: (change: StoreChange) => void;
-  /** Called once when the store stops answering. */
+  /** Called once when calls to the store start to fail. */
   onLost?: (error: RouterError) => void;
-  /** Called once when it answers again, with how long it was away in milliseconds. */
+  /**
+   * Called once when the store responds again, with the time since its last response in
+   * milliseconds.
+   */
   onRegained?: (awayMs: number) => void;
-  /** The mean pause before a failed call is made again, in milliseconds. */
+  /** Mean delay before a failed call is retried, in milliseconds. */
   retryMs?: number;
-  /** How long to gather further changes after one before the next watch, in milliseconds; 0 by default. */
+  /**
+   * Delay of the next watch after a change, to batch further changes, in milliseconds; 0 by
+   * default.
+   */
   gatherMs?: number;
   /**
-   * Whether the newest state is all that matters, so that after an outage it is read as it stands in
-   * place of every change that led there.
+   * Whether only the latest state matters. If so, after an outage a snapshot is read instead of
+   * every change made in the meantime.
    */
   isNewestEnough?: boolean;
   random?: Random;
 }
 
 /**
- * Mean pause before a failed call is made again, in milliseconds: short against the two seconds in
- * which a change must be in force, long enough that a refusing store sees few calls.
+ * Mean delay before a failed call is retried, in milliseconds: short compared to the two seconds
+ * within which a change must be in force, and long enough that a failing store receives few calls.
  */
 const defaultRetryMs = 350;
 
 /**
- * Follows all objects under a prefix: reads them once, then watches for changes.
+ * Follows all objects under a prefix: reads a snapshot, then watches for changes.
  *
- * A history that the store dropped shows as `historyGone`; then everything is read again, since the
- * changes in between are not to be had. A watch that fails otherwise goes on from the last revision.
+ * If the store has dropped the history, the watch fails with `historyGone` and a new snapshot is
+ * read, since the changes in between are not available. After any other failure the watch continues
+ * from the last revision.
  */
 export class ObjectFollower implements Disposable {
   readonly #options: Required<
@@ -49,7 +56,7 @@
   > &
     ObjectFollowerOptions;
   readonly #stop = new AbortController();
-  #heardMs: number;
+  #lastAnswerAtMs: number;
   #isLost = false;
   #revision: number | undefined;
 
@@ -63,15 +70,15 @@
       onRegained: () => undefined,
       ...options,
     };
-    this.#heardMs = options.clock.monotonicMs();
+    this.#lastAnswerAtMs = options.clock.monotonicMs();
   }
 
-  /** When the store last answered, on the monotonic clock in milliseconds. */
-  get heardMs(): number {
-    return this.#heardMs;
+  /** When the store last responded, on the monotonic clock in milliseconds. */
+  get lastAnswerAtMs(): number {
+    return this.#lastAnswerAtMs;
   }
 
-  /** Whether the store does not answer now. */
+  /** Whether the last call to the store failed. */
   get isLost(): boolean {
     return this.#isLost;
   }
@@ -86,10 +93,10 @@
     const { clock, retryMs, random } = this.#options;
     while (!this.#stop.signal.aborted) {
       try {
-        await this.#step();
+        await this.#readNext();
       } catch (thrown) {
         if (this.#stop.signal.aborted) return;
-        this.#fail(describeError(thrown));
+        this.#handleFailure(describeError(thrown));
         await clock.sleep(retryMs * (0.5 + random()), this.#stop.signal);
       }
     }
@@ -99,12 +106,12 @@
     this.#stop.abort();
   }
 
-  async #step(): Promise<void> {
+  async #readNext(): Promise<void> {
     const { store, prefix, onSnapshot, onChange } = this.#options;
     if (this.#revision === undefined) {
       const snapshot = await store.snapshot(prefix);
       if (this.#stop.signal.aborted) return;
-      this.#hear();
+      this.#markAnswered();
       onSnapshot(snapshot);
       this.#revision = snapshot.revision;
       return;
@@ -112,24 +119,24 @@
     const options = { isImmediate: this.#isLost };
     const watched = await store.watch(prefix, this.#revision, this.#stop.signal, options);
     if (this.#stop.signal.aborted) return;
-    this.#hear();
+    this.#markAnswered();
     for (const change of watched.changes) onChange(change);
     this.#revision = watched.revision;
-    if (watched.changes.length > 0) await this.#gather();
+    if (watched.changes.length > 0) await this.#waitForMoreChanges();
   }
 
   /**
-   * Waits a little for more changes, so that one watch tells of all of them.
+   * Delays the next watch, so that it returns several changes at once.
    *
-   * Guards against a call for each change and instance while many upstreams come and go: 33 instances
-   * that each watch again at once make 33 calls for every one.
+   * Without the delay, each change of an upstream costs one call per instance: 33 instances that
+   * each watch again at once make 33 calls for every change.
    */
-  async #gather(): Promise<void> {
+  async #waitForMoreChanges(): Promise<void> {
     const { clock, gatherMs } = this.#options;
     if (gatherMs > 0) await clock.sleep(gatherMs, this.#stop.signal);
   }
 
-  #fail(error: RouterError): void {
+  #handleFailure(error: RouterError): void {
     const { isNewestEnough } = this.#options;
     if (isNewestEnough || error.kind === 'historyGone') this.#revision = undefined;
     if (this.#isLost) return;
@@ -137,10 +144,10 @@
     this.#options.onLost(error);
   }
 
-  #hear(): void {
+  #markAnswered(): void {
     const nowMs = this.#options.clock.monotonicMs();
-    const awayMs = nowMs - this.#heardMs;
-    this.#heardMs = nowMs;
+    const awayMs = nowMs - this.#lastAnswerAtMs;
+    this.#lastAnswerAtMs = nowMs;
     if (!this.#isLost) return;
     this.#isLost = false;
     this.#options.onRegained(awayMs);
--- a/packages/store/src/ObjectFollower/test.ts
+++ b/packages/store/src/ObjectFollower/test.ts
@@ -6,7 +6,9 @@
 
 type Step = StoreSnapshot | StoreChanges | RouterError;
 
-/** Answers each call with the next step; then never again. */
+/**
+ * Responds to each call with the next step of the script; calls after the last step never resolve.
+ */
 class ScriptedStore extends ObjectStore {
   readonly calls: string[] = [];
   readonly #steps: Step[];
@@ -66,10 +68,11 @@
   return { clock, store, events, follower, run: follower.run() };
 }
 
-const away = () => new RouterError('storeUnavailable', 'away');
+const createUnavailableError = () =>
+  new RouterError('storeUnavailable', 'the store cannot be reached');
 const object = (key: string): StoredObject => ({ key, version: 1, value: 1 });
 
-test('it reads all, then goes on from revision to revision', async (t) => {
+test('it reads a snapshot, then watches from revision to revision', async (t) => {
   const { clock, store, events } = follow([
     { objects: [object('a/1')], revision: 5 },
     { changes: [{ key: 'a/2', revision: 7, object: object('a/2') }], revision: 8 },
@@ -80,9 +83,9 @@
   t.deepEqual(events, ['all a/1', 'change a/2']);
 });
 
-// The store drops its history while changes are made. They can no longer be told one by one, so a
-// follower that only went on watching would miss them for good.
-test('a dropped history is answered by reading everything again', async (t) => {
+// The store drops its history while objects change. The watch cannot return those changes any more,
+// so a follower that only continued the watch would never see them.
+test('a new snapshot is read after the store has dropped its history', async (t) => {
   const { clock, store, events } = follow([
     { objects: [], revision: 5 },
     new RouterError('historyGone', 'gone'),
@@ -93,21 +96,21 @@
   t.deepEqual(events, ['all ', 'lost', 'regained', 'all a/3']);
 });
 
-// The store refuses every call at once. Asked again without a pause, it would get thousands of calls
-// a second, and the process would do nothing else.
-test('a store that is away is asked a few times a second, and told of once', async (t) => {
+// The store rejects every call immediately. Retries without a delay would make thousands of calls
+// per second and keep the process from doing anything else.
+test('an unavailable store is called a few times per second and reported once', async (t) => {
   const { clock, store, events } = follow([
     { objects: [], revision: 5 },
-    ...Array.from({ length: 1_000 }, away),
+    ...Array.from({ length: 1_000 }, createUnavailableError),
   ]);
   await clock.advance(3_000);
   t.true(store.calls.length > 5 && store.calls.length < 30);
   t.deepEqual(events, ['all ', 'lost']);
 });
 
-// Dozens of upstreams come and go within a second. An instance that watches again after each of them
-// makes a call for every one; the store serves a bounded number of calls from all instances.
-test('changes are gathered before the next watch', async (t) => {
+// Dozens of upstreams come and go within a second. An instance that watches again after each change
+// makes one call per change, while the store limits the calls of all instances together.
+test('the next watch is delayed to batch changes', async (t) => {
   const change = { key: 'k/a', revision: 8, object: undefined };
   const steps: Step[] = [
     { objects: [], revision: 7 },
@@ -121,12 +124,13 @@
   t.deepEqual(store.calls, ['snapshot', 'watch 7', 'watch 8', 'watch 8']);
 });
 
-// Large versions follow each other while an instance is cut off. All of them come in one answer over a
-// narrow link, and the one that counts comes last, seconds after the cut is over.
-test('where the newest state is enough, it alone is read after an outage', async (t) => {
+// Several large versions are written while an instance is partitioned. A watch would return all of
+// them in one response over a slow link, and the only relevant one, the latest, would arrive
+// seconds late.
+test('if only the latest state matters, a snapshot is read after an outage', async (t) => {
   const steps = [
     { objects: [object('a/1')], revision: 5 },
-    away(),
+    createUnavailableError(),
     { objects: [object('a/1')], revision: 20 },
   ];
   const { clock, store, events } = follow(steps, { isNewestEnough: true });
--- a/packages/store/src/ObjectStore/index.ts
+++ b/packages/store/src/ObjectStore/index.ts
@@ -11,37 +11,38 @@
 /**
  * The platform's object API: versions, conditional updates and watches.
  *
- * Every method throws RouterError `storeUnavailable` when the store does not answer. A write that
- * throws may still have taken effect: its answer can be lost. Writers therefore make each change
- * idempotent and find out by reading again, as {@link updateObject} does.
+ * Every method throws RouterError `storeUnavailable` when the store does not respond. A write that
+ * throws may still have taken effect, because the response can be lost. Writers must therefore make
+ * changes idempotent and read again to learn the outcome, as {@link updateObject} does.
  */
 export abstract class ObjectStore {
-  /** Reads one object; undefined when there is none. */
+  /** Reads one object; undefined if it does not exist. */
   abstract read(key: string): Promise<StoredObject | undefined>;
 
-  /** Writes one object when the condition holds. Values are JSON and at most a megabyte. */
+  /** Writes one object if the condition holds. Values are JSON of at most one megabyte. */
   abstract write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult>;
 
-  /** Removes one object when it has the stated version. */
+  /** Removes one object if it has the given version. */
   abstract remove(key: string, version: number): Promise<WriteResult>;
 
-  /** All objects whose key begins with the prefix, and the revision to watch from. */
+  /** Reads all objects whose key starts with the prefix, and the revision to watch from. */
   abstract snapshot(prefix: string, options?: SnapshotOptions): Promise<StoreSnapshot>;
 
-  /** All objects whose key begins with the prefix, in order of key. */
+  /** Reads all objects whose key starts with the prefix, sorted by key. */
   async list(prefix: string): Promise<readonly StoredObject[]> {
     return (await this.snapshot(prefix)).objects;
   }
 
   /**
-   * Waits for changes under a prefix after a revision. One waiting watch counts as one call.
+   * Waits for changes under a prefix after a revision. A watch counts as one call, however long it
+   * waits.
    *
-   * @param prefix - which keys
-   * @param sinceRevision - the revision up to which changes are known; 0 for all that is there
+   * @param prefix - prefix of the keys to watch
+   * @param sinceRevision - the revision up to which changes are known; 0 for all objects
    * @param signal - ends the wait
-   * @param options - whether to wait at all
+   * @param options - whether to respond without waiting
    * @returns the changes after that revision
-   * @throws RouterError `historyGone` when the store no longer knows what followed that revision
+   * @throws RouterError `historyGone` when the store no longer has the changes after that revision
    */
   abstract watch(
     prefix: string,
--- a/packages/store/src/PrefixedObjectStore/index.ts
+++ b/packages/store/src/PrefixedObjectStore/index.ts
@@ -7,7 +7,7 @@
   WriteResult,
 } from '../types.js';
 
-/** A view of a store in which all keys have a prefix that its users do not see. */
+/** A view of a store that adds a prefix to all keys, and removes it from the keys it returns. */
 export class PrefixedObjectStore extends ObjectStore {
   readonly #store: ObjectStore;
   readonly #prefix: string;
@@ -20,7 +20,7 @@
 
   override async read(key: string): Promise<StoredObject | undefined> {
     const stored = await this.#store.read(this.#prefix + key);
-    return stored === undefined ? undefined : this.#shown(stored);
+    return stored === undefined ? undefined : this.#withoutPrefix(stored);
   }
 
   override write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult> {
@@ -33,7 +33,7 @@
 
   override async snapshot(prefix: string): Promise<StoreSnapshot> {
     const { objects, revision } = await this.#store.snapshot(this.#prefix + prefix);
-    return { objects: objects.map((stored) => this.#shown(stored)), revision };
+    return { objects: objects.map((stored) => this.#withoutPrefix(stored)), revision };
   }
 
   override async watch(
@@ -44,17 +44,17 @@
     const watched = await this.#store.watch(this.#prefix + prefix, sinceRevision, signal);
     const changes = watched.changes.map((change) => ({
       ...change,
-      key: this.#bare(change.key),
-      object: change.object === undefined ? undefined : this.#shown(change.object),
+      key: this.#stripPrefix(change.key),
+      object: change.object === undefined ? undefined : this.#withoutPrefix(change.object),
     }));
     return { changes, revision: watched.revision };
   }
 
-  #shown(stored: StoredObject): StoredObject {
-    return { ...stored, key: this.#bare(stored.key) };
+  #withoutPrefix(stored: StoredObject): StoredObject {
+    return { ...stored, key: this.#stripPrefix(stored.key) };
   }
 
-  #bare(key: string): string {
+  #stripPrefix(key: string): string {
     return key.slice(this.#prefix.length);
   }
 }
--- a/packages/store/src/StoredInstanceList/index.ts
+++ b/packages/store/src/StoredInstanceList/index.ts
@@ -4,7 +4,7 @@
 import type { ObjectStore } from '../ObjectStore/index.js';
 import type { ListedInstance } from '../types.js';
 
-const listedSchema = z.object({
+const listedInstanceSchema = z.object({
   id: z.string(),
   role: z.enum(['entry', 'engine', 'service']),
   service: z.string().optional(),
@@ -16,20 +16,20 @@
   state: z.enum(['live', 'leaving']),
 });
 
-const listedPrefix = 'listed/';
+const instanceListPrefix = 'listed/';
 
 /**
- * Where an instance's row of the list lies in the store.
+ * Returns the store key of an instance's entry in the list.
  *
  * @example
  * listedKey('entry-1');
  * //=> 'listed/entry-1'
  */
 export function listedKey(id: string): string {
-  return `${listedPrefix}${id}`;
+  return `${instanceListPrefix}${id}`;
 }
 
-/** The instance list as objects of the store, one for each instance. */
+/** An instance list kept in the object store, with one object per instance. */
 export class StoredInstanceList extends InstanceList {
   readonly #store: ObjectStore;
 
@@ -39,10 +39,10 @@
   }
 
   override async read(): Promise<readonly ListedInstance[]> {
-    const { objects } = await this.#store.snapshot(listedPrefix, { isStaleAllowed: true });
-    const parsed = z.array(listedSchema).safeParse(objects.map(({ value }) => value));
+    const { objects } = await this.#store.snapshot(instanceListPrefix, { isStaleAllowed: true });
+    const parsed = z.array(listedInstanceSchema).safeParse(objects.map(({ value }) => value));
     if (parsed.success) return parsed.data as unknown as ListedInstance[];
-    throw new RouterError('storeUnavailable', 'the instance list does not parse', {
+    throw new RouterError('storeUnavailable', 'the instance list has an invalid entry', {
       cause: parsed.error,
     });
   }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The platform as a peer: its object store and its instance list.
+ * Interfaces to the platform's object store and instance list, with in-memory implementations.
  */
 export type * from './types.js';
 export * from './ObjectStore/index.js';
--- a/packages/store/src/types.ts
+++ b/packages/store/src/types.ts
@@ -1,40 +1,40 @@
 /**
- * What the platform's object API and instance list answer.
+ * Types of the platform's object API and instance list.
  */
 import type { FailureDomainId, InstanceId, ServiceName } from '@acaciacrank/base';
 
 /** One object of the platform's store. */
 export interface StoredObject {
   readonly key: string;
-  /** Rises with each write of this key, also across deletion. */
+  /** Rises with each write of this key, also when it is deleted and written again. */
   readonly version: number;
   readonly value: unknown;
 }
 
-/** What a write requires of the object as it stands. */
+/** Precondition of a write on the current object: that it is absent, has a version, or none. */
 export type WriteCondition =
   | { readonly kind: 'absent' }
   | { readonly kind: 'version'; readonly version: number }
   | { readonly kind: 'none' };
 
-/** What a conditional write did. */
+/** Outcome of a conditional write. */
 export type WriteResult =
   | { readonly outcome: 'written'; readonly version: number }
   | {
       readonly outcome: 'conflict';
-      /** The object as it stands, where the store said so; saves the writer a read. */
+      /** The current object, if the store returned it; saves the writer a read. */
       readonly current?: StoredObject;
     };
 
-/** How a watch may be made. */
+/** Options of a watch. */
 export interface WatchOptions {
-  /** Answer at once, with or without news: tells whether the store is back without waiting for it. */
+  /** Respond at once, with or without changes; shows whether the store is available again. */
   isImmediate?: boolean;
 }
 
-/** How a snapshot may be taken. */
+/** Options of a snapshot. */
 export interface SnapshotOptions {
-  /** Take what the store has at hand, which may be seconds old and costs it less. */
+  /** Allow a stale read, which may be seconds old and is cheaper for the store. */
   isStaleAllowed?: boolean;
 }
 
@@ -45,35 +45,35 @@
   readonly object: StoredObject | undefined;
 }
 
-/** What a watch answers. */
+/** Result of a watch. */
 export interface StoreChanges {
-  /** Oldest first; empty when the wait ended without any. */
+  /** Oldest first; empty when the watch ended without changes. */
   readonly changes: readonly StoreChange[];
-  /** Where to go on watching from; at least the revision that was asked for. */
+  /** Revision to continue the watch from; never below the requested one. */
   readonly revision: number;
 }
 
-/** All objects under a prefix, and the revision at which to begin to watch for changes. */
+/** All objects under a prefix, and the revision to start watching from. */
 export interface StoreSnapshot {
-  /** In order of key. */
+  /** Sorted by key. */
   readonly objects: readonly StoredObject[];
   readonly revision: number;
 }
 
-/** What the platform's list says an instance is for. */
+/** Role of an instance in the platform's instance list. */
 export type InstanceRole = 'entry' | 'engine' | 'service';
 
-/** One row of the platform's instance list. */
+/** An entry of the platform's instance list. */
 export interface ListedInstance {
   readonly id: InstanceId;
   readonly role: InstanceRole;
   /** The service that an upstream serves; undefined for entry instances. */
   readonly service?: ServiceName;
-  /** `http://IP:PORT` where it takes its callers' requests. */
+  /** `http://IP:PORT` where it accepts requests. */
   readonly url: string;
   /** `ws://IP:PORT` of an entry instance's links; undefined for upstreams. */
   readonly fleetUrl?: string;
-  /** `http://IP:PORT` of an entry instance's operators' port; undefined when the list has none. */
+  /** `http://IP:PORT` of an entry instance's operators' port; undefined if the list lacks it. */
   readonly operatorsUrl?: string;
   /** The environment of an entry instance, for example `kapiti.trial`; undefined when unknown. */
   readonly environment?: string;
--- a/packages/store/src/updateObject/index.ts
+++ b/packages/store/src/updateObject/index.ts
@@ -4,38 +4,42 @@
 
 /** Options of {@link updateObject}. */
 export interface UpdateObjectOptions {
-  /** How often to read and try before giving up. */
+  /** Maximum number of attempts, each a read and a write; 8 by default. */
   maxAttempts?: number;
-  /** The longest first back-off, in milliseconds; it doubles with each attempt. */
+  /**
+   * Maximum back-off after the first attempt, in milliseconds; doubles each time; 20 by default.
+   */
   backOffMs?: number;
-  /** Spreads the back-off, so that writers that collided do not collide again. */
+  /** Randomizes the back-off, so that writers that conflicted do not conflict again. */
   random?: Random;
 }
 
-/** What {@link updateObject} leaves behind. */
+/** Result of {@link updateObject}. */
 export interface UpdatedObject<Value> {
   readonly value: Value;
   readonly version: number;
-  /** How often a write was tried. */
+  /** Number of attempts made. */
   readonly attempts: number;
 }
 
-const longestBackOffMs = 2_000;
+const maxBackOffMs = 2_000;
 
 /**
- * Changes one object by reading, applying and writing conditionally, until it holds.
+ * Updates one object with optimistic concurrency: reads it, applies the change and writes it
+ * conditionally, and retries on conflict.
  *
- * The answer to a write can be lost after the write took effect. That shows as an error from
- * `write`; the loop then reads again and applies again, so `apply` must be idempotent: applied to
- * a value that already contains the change, it returns that value unchanged.
+ * The response to a write can be lost after the write took effect. `write` then throws, and the
+ * loop reads and applies again, so `apply` must be idempotent: applied to a value that already
+ * contains the change, it returns that value unchanged.
  *
  * @param store - the platform's store
  * @param key - the object's key
  * @param clock - measures the back-off
- * @param apply - makes the new value; returning the value it was given means nothing is to be done
- * @param options - bounds
+ * @param apply - creates the new value; returning the given value unchanged skips the write
+ * @param options - attempts and back-off
  * @returns the value that is now in the store
- * @throws RouterError `storeUnavailable` when the attempts are used up; the change may have taken effect
+ * @throws RouterError `storeUnavailable` when the attempts are used up; the change may have taken
+ *   effect
  *
  * @example
  * await updateObject(store, 'counter', clock, (stored) => (stored?.value as number ?? 0));
@@ -66,7 +70,7 @@
       lastError = error;
     }
     await clock.sleep(random() * backOffMs);
-    backOffMs = Math.min(longestBackOffMs, backOffMs * 2);
+    backOffMs = Math.min(maxBackOffMs, backOffMs * 2);
   }
   throw new RouterError(
     'storeUnavailable',
