--- a/packages/ledger/src/BudgetLedger/index.ts
+++ b/packages/ledger/src/BudgetLedger/index.ts
@@ -10,7 +10,7 @@
 } from '@acaciacrank/base';
 import type { ObjectStore } from '@acaciacrank/store';
 import type { GrantPeers, TransferredTokens } from '../GrantPeers/index.js';
-import type { GrantPolicy, GrantWish } from '../GrantPolicy/index.js';
+import type { GrantPolicy, GrantPlan } from '../GrantPolicy/index.js';
 import { NoGrantPeers } from '../NoGrantPeers/index.js';
 import { pageKeyOf } from '../pageKeyOf/index.js';
 import { parsePage } from '../pageSchema/index.js';
@@ -18,9 +18,9 @@
 import { DemandMeter } from '../_lib/DemandMeter/index.js';
 import { HeldGrants } from '../_lib/HeldGrants/index.js';
 import { OpenRequests } from '../_lib/OpenRequests/index.js';
-import { trimParts } from '../_lib/trimParts/index.js';
+import { splitParts } from '../_lib/splitParts/index.js';
 import { UnconfirmedReturns } from '../_lib/UnconfirmedReturns/index.js';
-import { within } from '../_lib/within/index.js';
+import { waitAtMost } from '../_lib/waitAtMost/index.js';
 import type {
   BudgetRef,
   DeniedResult,
@@ -38,52 +38,52 @@
   clock: Clock;
   random: Random;
   instanceId: InstanceId;
-  /** Differs between two lives of the same instance, so that grant ids never meet again. */
+  /** Differs between two process runs of the same instance, so that grant ids are never reused. */
   incarnation: string;
   policy: GrantPolicy;
   /** The other instances; none by default. */
   peers?: GrantPeers;
-  /** How long a grant may be spent, in milliseconds; it is prolonged while it is in use. */
+  /** How long a grant may be spent, in milliseconds; it is renewed while it is in use. */
   grantLifetimeMs?: number;
-  /** The longest request, in milliseconds; a grant returns to its budget only after that. */
+  /** The duration of the longest request, in milliseconds; part of the grace period of a grant. */
   longestRequestMs?: number;
-  /** The most that two machines' wall clocks differ, in milliseconds. */
+  /** The largest skew between the wall clocks of two machines, in milliseconds. */
   maxSkewMs?: number;
-  /** How long a request key protects against a second bill, in milliseconds. */
+  /** How long a request key prevents a second bill, in milliseconds. */
   keyProtectionMs?: number;
-  /** How long bills of a busy page gather before they are written, in milliseconds. */
+  /** How long bills of a busy page are collected before they are written together, in milliseconds. */
   groupCommitMs?: number;
   /** How long {@link BudgetLedger.reserve} waits for tokens, in milliseconds. */
   reserveTimeoutMs?: number;
-  /** How long the store has to answer before peers are asked, in milliseconds. */
+  /** How long to wait for the store before peers are asked, in milliseconds. */
   askPeersAfterMs?: number;
-  /** How many requests of one page may be reserved or wait to be billed. */
+  /** The maximum number of requests per page that are reserved or wait to be billed. */
   maxOpenPerPage?: number;
-  /** How many requests may be reserved or wait to be billed, over all pages. */
+  /** The maximum number of requests on all pages that are reserved or wait to be billed. */
   maxOpen?: number;
-  /** From how many kept request keys on a page takes no new requests. */
+  /** A page that stores this many request keys accepts no new requests. */
   maxKeysPerPage?: number;
 }
 
-/** Tokens held for one request, before it is dispatched. */
+/** Tokens reserved for one request before it is dispatched. */
 export interface Reservation {
   readonly budget: BudgetRef;
   readonly parts: readonly GrantPart[];
   readonly tokens: number;
 }
 
-/** What a request was billed. */
+/** The result of billing a request. */
 export interface Bill {
   readonly tokens: number;
-  /** Generated but beyond what the budget reached; counted, never charged. */
+  /** Tokens that were generated but not covered by the budget; counted, never charged. */
   readonly unbillableTokens: number;
-  /** Whether an earlier attempt under the same key had been billed already. */
+  /** Whether an earlier attempt with the same key had already been billed. */
   readonly isRepeat: boolean;
-  /** Digest of the body that was billed: another than asked for where the key was used again. */
+  /** Digest of the billed body; differs from the requested one if the key was reused for another body. */
   readonly bodyDigest: string;
 }
 
-/** What to bill. */
+/** A request to bill. */
 export interface SettleRequest {
   readonly requestKey: RequestKey;
   readonly requestId: RequestId;
@@ -91,34 +91,34 @@
   readonly tokens: number;
 }
 
-/** What a ledger has done since it started, for the metrics. */
+/** Counts since the ledger was created, for metrics. */
 export interface LedgerCounts {
   commits: number;
   conflicts: number;
   grants: number;
   recalls: number;
   receivedTokens: number;
-  passedOnTokens: number;
+  transferredTokens: number;
   unbillableTokens: number;
 }
 
-/** How often idle and ending grants are looked after, in milliseconds. */
-const sweepMs = 5_000;
-/** How long a budget may rest before its grants are given back, in milliseconds. */
-const idleMs = 10 * millisecondsInMinute;
-/** A grant is prolonged when less than this share of its life is left. */
-const renewShare = 2 / 3;
-/** The shortest time between two refills of one budget ahead of need, in milliseconds. */
-const refillEveryMs = 2_000;
-/** Below this share of the refill mark a refill does not wait for the next bill to join. */
+/** The interval at which idle grants are returned and expiring ones renewed, in milliseconds. */
+const sweepIntervalMs = 5_000;
+/** The grants of a budget are returned after it was unused for this long, in milliseconds. */
+const budgetIdleTimeoutMs = 10 * millisecondsInMinute;
+/** A grant is renewed when less than this share of its lifetime remains. */
+const renewThresholdShare = 2 / 3;
+/** The minimum time between two refills of a budget in advance, in milliseconds. */
+const minRefillIntervalMs = 2_000;
+/** Below this share of `refillBelowTokens` a refill is not deferred to the next bill. */
 const urgentRefillShare = 0.5;
-/** The shortest time between two recalls of one budget, in milliseconds. */
-const recallEveryMs = 200;
-const firstBillBackOffMs = 250;
-const longestBillBackOffMs = 5_000;
+/** The minimum time between two recalls of a budget, in milliseconds. */
+const minRecallIntervalMs = 200;
+const initialBillBackoffMs = 250;
+const maxBillBackoffMs = 5_000;
 
-/** What one budget does here. */
-interface BudgetUse {
+/** The local state of a budget. */
+interface BudgetState {
   lastUsedMs: number;
   lastRefillMs: number;
   lastRecallMs: number;
@@ -126,31 +126,31 @@
 }
 
 /**
- * An instance's view of budgets: takes grants, reserves from them and bills.
+ * Acquires grants of budgets for an instance, reserves tokens from them and bills requests.
  *
- * The pages in the store are the only truth. What is kept here is what this instance has set
- * aside, so losing it loses no money: the grants return to their budgets after they expire.
+ * The pages in the store are authoritative. The memory of this instance only tracks its own grants. If
+ * it is lost, no tokens are lost: the grants return to their budgets after they expire.
  */
 export class BudgetLedger implements Disposable {
   readonly #options: Required<BudgetLedgerOptions>;
   readonly #writer: PageWriter;
-  readonly #held: HeldGrants;
+  readonly #heldGrants: HeldGrants;
   readonly #demand: DemandMeter;
-  readonly #open: OpenRequests;
-  readonly #unconfirmed = new UnconfirmedReturns();
-  readonly #uses = new Map<string, BudgetUse>();
-  readonly #acquiring = new Map<string, Promise<OperationResult>>();
-  readonly #obtaining = new Map<string, Promise<void>>();
-  readonly #serving: Disposable;
+  readonly #openRequests: OpenRequests;
+  readonly #unconfirmedReturns = new UnconfirmedReturns();
+  readonly #budgetStates = new Map<string, BudgetState>();
+  readonly #pendingGrants = new Map<string, Promise<OperationResult>>();
+  readonly #pendingAcquisitions = new Map<string, Promise<void>>();
+  readonly #peerHandlerRegistration: Disposable;
   readonly #counts = {
     grants: 0,
     recalls: 0,
     receivedTokens: 0,
-    passedOnTokens: 0,
+    transferredTokens: 0,
     unbillableTokens: 0,
   };
   #sweepTimer: Disposable | undefined;
-  #isStoreInTrouble = false;
+  #isStoreFailing = false;
   #isDisposed = false;
 
   constructor(options: BudgetLedgerOptions) {
@@ -178,95 +178,95 @@
       keyProtectionMs,
       groupCommitMs,
     });
-    this.#held = new HeldGrants(clock, `${instanceId}.${incarnation}`);
+    this.#heldGrants = new HeldGrants(clock, `${instanceId}.${incarnation}`);
     this.#demand = new DemandMeter(clock);
-    this.#open = new OpenRequests(this.#options);
-    this.#serving = peers.serve({
-      giveBack: (budget) => this.#giveBack(budget),
-      handOver: (budget, tokens) => this.#handOver(budget, tokens),
+    this.#openRequests = new OpenRequests(this.#options);
+    this.#peerHandlerRegistration = peers.serve({
+      giveBack: (budget) => this.#returnIdleTokens(budget),
+      handOver: (budget, tokens) => this.#transferTokens(budget, tokens),
     });
   }
 
-  /** What was done since the start. */
+  /** Counts since this ledger was created. */
   get counts(): LedgerCounts {
     return { ...this.#counts, commits: this.#writer.commits, conflicts: this.#writer.conflicts };
   }
 
   /**
-   * Holds tokens for one request.
+   * Reserves tokens for one request.
    *
-   * @param budget - the budget to draw on
-   * @param tokens - the worst case: prompt and longest answer
-   * @returns the reservation, to be settled or released
-   * @throws RouterError `budgetExhausted`, `storeUnavailable`, `overloaded` or `badRequest`; all
-   * mean that nothing was held
+   * @param budget - the budget to reserve from
+   * @param tokens - the worst case: the prompt and the longest response
+   * @returns the reservation, which must be settled or released
+   * @throws RouterError `budgetExhausted`, `storeUnavailable`, `overloaded` or `badRequest`; in
+   * each case nothing was reserved
    */
   async reserve(budget: BudgetRef, tokens: number): Promise<Reservation> {
     checkTokens(tokens);
     const pageKey = pageKeyOf(budget);
-    this.#open.refuseBeyond(pageKey);
-    await this.#refuseFullPage(budget, pageKey);
+    this.#openRequests.checkLimit(pageKey);
+    await this.#checkPageCapacity(budget, pageKey);
     this.#demand.add(budget.budgetId, tokens);
-    const untilMs = this.#options.clock.monotonicMs() + this.#options.reserveTimeoutMs;
+    const deadlineMs = this.#options.clock.monotonicMs() + this.#options.reserveTimeoutMs;
     for (;;) {
-      const parts = this.#held.reserve(budget, tokens);
+      const parts = this.#heldGrants.reserve(budget, tokens);
       if (parts !== undefined) {
-        this.#open.add(pageKey);
-        this.#useOf(budget).lastUsedMs = this.#options.clock.monotonicMs();
-        this.#refill(budget, urgentRefillShare);
+        this.#openRequests.add(pageKey);
+        this.#stateOf(budget).lastUsedMs = this.#options.clock.monotonicMs();
+        this.#refillIfLow(budget, urgentRefillShare);
         return { budget, parts, tokens };
       }
-      if (this.#options.clock.monotonicMs() >= untilMs) throw tooLate(budget);
-      await this.#obtainOnce(budget, tokens, untilMs);
+      if (this.#options.clock.monotonicMs() >= deadlineMs) throw createTimeoutError(budget);
+      await this.#joinOrAcquireTokens(budget, tokens, deadlineMs);
     }
   }
 
   /**
-   * Whether a reservation may still be acted on.
+   * Whether the tokens of a reservation may still be spent.
    *
-   * Guards against a pause: a process frozen between reserving and dispatching would spend tokens
-   * that have since returned to the budget. It shows as a reservation older than its grant, by the
-   * monotonic clock, which a pause does not stop.
+   * A process that is paused between reserving and dispatching would spend tokens that have returned
+   * to the budget in the meantime. The pause shows because the grants of the reservation have expired
+   * by the monotonic clock, which a pause does not stop.
    */
   isSpendable(reservation: Reservation): boolean {
-    return this.#held.areSpendable(reservation.budget, reservation.parts);
+    return this.#heldGrants.areSpendable(reservation.budget, reservation.parts);
   }
 
-  /** Gives back a reservation of a request that did not run. */
+  /** Releases the reservation of a request that did not run. */
   release(reservation: Reservation): void {
-    if (!this.#open.remove(pageKeyOf(reservation.budget), reservation)) return;
-    this.#held.release(reservation.budget, reservation.parts);
+    if (!this.#openRequests.remove(pageKeyOf(reservation.budget), reservation)) return;
+    this.#heldGrants.release(reservation.budget, reservation.parts);
   }
 
   /**
    * Bills a request, durably.
    *
-   * Tries until the store answers: the caller's final frame waits for it. What was held beyond the
-   * bill is free for other requests at once.
+   * Retries until the store responds, because the last frame to the caller waits for the bill. Reserved
+   * tokens that the bill does not need are available to other requests immediately.
    *
-   * @param reservation - what was held
-   * @param request - what to bill; more than was held is cut to what was held
-   * @returns the bill, which may be an earlier attempt's
-   * @throws RouterError `internal` when the page is unreadable
+   * @param reservation - the tokens reserved for the request
+   * @param request - what to bill; at most the reserved tokens are charged
+   * @returns the bill, which may be that of an earlier attempt
+   * @throws RouterError `internal` if the page does not parse
    */
   async settle(reservation: Reservation, request: SettleRequest): Promise<Bill> {
     const { budget } = reservation;
     const pageKey = pageKeyOf(budget);
-    const { kept: parts, rest } = trimParts(reservation.parts, request.tokens);
-    this.#held.release(budget, rest);
+    const { kept: parts, rest } = splitParts(reservation.parts, request.tokens);
+    this.#heldGrants.release(budget, rest);
     try {
       const tokens = Math.min(request.tokens, reservation.tokens);
       const result = await this.#submitBill(budget, parts, { ...request, tokens });
-      return this.#settled(budget, parts, request, result);
+      return this.#createBill(budget, parts, request, result);
     } finally {
-      this.#open.remove(pageKey, reservation);
+      this.#openRequests.remove(pageKey, reservation);
     }
   }
 
   /**
    * The billing record of a request key, read from the store.
    *
-   * @throws RouterError `storeUnavailable`
+   * @throws RouterError `storeUnavailable`, or `internal` if the page does not parse
    */
   async findBill(budget: BudgetRef, requestKey: RequestKey): Promise<PageBill | undefined> {
     const key = pageKeyOf(budget);
@@ -274,195 +274,199 @@
     return page.budgets[budget.budgetId]?.bills[requestKey];
   }
 
-  /** Gives every idle grant back to its budget, for a planned stop. */
+  /** Returns all idle tokens to their budgets, before a planned shutdown. */
   async closeAll(): Promise<void> {
-    for (const budget of this.#held.budgets()) await this.#giveBack(budget);
+    for (const budget of this.#heldGrants.budgets()) await this.#returnIdleTokens(budget);
   }
 
   [Symbol.dispose](): void {
     this.#isDisposed = true;
     this.#sweepTimer?.[Symbol.dispose]();
-    this.#serving[Symbol.dispose]();
+    this.#peerHandlerRegistration[Symbol.dispose]();
   }
 
-  #settled(
+  #createBill(
     budget: BudgetRef,
     parts: readonly GrantPart[],
     request: SettleRequest,
     result: OperationResult,
   ): Bill {
     if (result.kind === 'alreadyBilled') {
-      this.#held.release(budget, parts);
+      this.#heldGrants.release(budget, parts);
       const { tokens, bodyDigest } = result.bill;
       return { tokens, unbillableTokens: 0, isRepeat: true, bodyDigest };
     }
-    this.#held.spend(budget, parts);
+    this.#heldGrants.spend(budget, parts);
     const tokens = result.kind === 'billed' ? result.chargedTokens : 0;
-    if (result.kind === 'billed') this.#useOf(budget).lastAvailableTokens = result.availableTokens;
+    if (result.kind === 'billed')
+      this.#stateOf(budget).lastAvailableTokens = result.availableTokens;
     const unbillableTokens = request.tokens - tokens;
     this.#counts.unbillableTokens += unbillableTokens;
     return { tokens, unbillableTokens, isRepeat: false, bodyDigest: request.bodyDigest };
   }
 
   /**
-   * A page keeps each request key for as long as it protects, so a page with too many takes no new
-   * requests until old ones have ended: it would outgrow what the store holds, or forget a key that
-   * still protects.
+   * Refuses a request if its page is full. A page keeps each request key for its protection period, so
+   * it would otherwise outgrow the size limit of the store, or drop a key that is still needed.
    */
-  async #refuseFullPage(budget: BudgetRef, pageKey: string): Promise<void> {
+  async #checkPageCapacity(budget: BudgetRef, pageKey: string): Promise<void> {
     const { maxKeysPerPage } = this.#options;
-    if (this.#writer.keysIn(pageKey) < maxKeysPerPage) return;
+    if (this.#writer.requestKeyCount(pageKey) < maxKeysPerPage) return;
     await this.#submit(budget, [{ kind: 'prune', budget }]);
-    if (this.#writer.keysIn(pageKey) < maxKeysPerPage) return;
-    throw new RouterError('overloaded', `${pageKey} keeps ${maxKeysPerPage} request keys already`);
+    if (this.#writer.requestKeyCount(pageKey) < maxKeysPerPage) return;
+    throw new RouterError('overloaded', `${pageKey} already stores ${maxKeysPerPage} request keys`);
   }
 
-  /** One attempt a budget at a time: those who waited look at what came first. */
-  async #obtainOnce(budget: BudgetRef, tokens: number, untilMs: number): Promise<void> {
-    const underWay = this.#obtaining.get(budget.budgetId);
-    if (underWay !== undefined) {
-      await underWay.catch(() => undefined);
+  /** Acquires tokens, or waits if this is already under way for the budget; the caller then checks again. */
+  async #joinOrAcquireTokens(budget: BudgetRef, tokens: number, deadlineMs: number): Promise<void> {
+    const pending = this.#pendingAcquisitions.get(budget.budgetId);
+    if (pending !== undefined) {
+      await pending.catch(() => undefined);
       return;
     }
-    const obtaining = this.#obtain(budget, tokens, untilMs);
-    this.#obtaining.set(budget.budgetId, obtaining);
+    const acquisition = this.#acquireTokens(budget, tokens, deadlineMs);
+    this.#pendingAcquisitions.set(budget.budgetId, acquisition);
     try {
-      await obtaining;
+      await acquisition;
     } finally {
-      this.#obtaining.delete(budget.budgetId);
+      this.#pendingAcquisitions.delete(budget.budgetId);
     }
   }
 
-  /** From the page; while the store does not answer, from peers. */
-  async #obtain(budget: BudgetRef, tokens: number, untilMs: number): Promise<void> {
+  /** Acquires tokens from the page, or from peers while the store does not respond. */
+  async #acquireTokens(budget: BudgetRef, tokens: number, deadlineMs: number): Promise<void> {
     const { clock, askPeersAfterMs } = this.#options;
-    const missing = () => tokens - this.#held.availableTokens(budget);
-    if (this.#isStoreInTrouble && (await this.#askPeers(budget, missing()))) return;
-    await within(clock, askPeersAfterMs, this.#refilled(budget));
+    const missing = () => tokens - this.#heldGrants.availableTokens(budget);
+    if (this.#isStoreFailing && (await this.#askPeers(budget, missing()))) return;
+    await waitAtMost(clock, askPeersAfterMs, this.#waitForPendingGrant(budget));
     if (missing() <= 0) return;
-    const acquiring = this.#acquire(budget, missing());
-    const soon = await within(clock, askPeersAfterMs, acquiring).catch(ignoreTrouble);
-    if (soon?.kind === 'denied') {
-      await this.#recallAndRetry(budget, tokens, soon);
+    const pendingGrant = this.#requestGrant(budget, missing());
+    const earlyResult = await waitAtMost(clock, askPeersAfterMs, pendingGrant).catch(
+      ignoreTransientError,
+    );
+    if (earlyResult?.kind === 'denied') {
+      await this.#recallAndRetry(budget, tokens, earlyResult);
       return;
     }
-    if (soon !== undefined || missing() <= 0) return;
+    if (earlyResult !== undefined || missing() <= 0) return;
     if (await this.#askPeers(budget, missing())) return;
-    const late = await within(clock, untilMs - clock.monotonicMs(), acquiring);
-    if (late === undefined) throw tooLate(budget);
+    const lateResult = await waitAtMost(clock, deadlineMs - clock.monotonicMs(), pendingGrant);
+    if (lateResult === undefined) throw createTimeoutError(budget);
   }
 
   async #recallAndRetry(budget: BudgetRef, tokens: number, denied: DeniedResult): Promise<void> {
     const { policy, peers, instanceId, clock } = this.#options;
-    const missing = () => tokens - this.#held.availableTokens(budget);
+    const missing = () => tokens - this.#heldGrants.availableTokens(budget);
     const others = denied.holders.filter((holder) => holder !== instanceId);
-    const use = this.#useOf(budget);
-    const sinceRecallMs = clock.monotonicMs() - use.lastRecallMs;
-    if (policy.isRecalling && others.length > 0 && sinceRecallMs >= recallEveryMs) {
-      use.lastRecallMs = clock.monotonicMs();
+    const state = this.#stateOf(budget);
+    const sinceRecallMs = clock.monotonicMs() - state.lastRecallMs;
+    if (policy.isRecallEnabled && others.length > 0 && sinceRecallMs >= minRecallIntervalMs) {
+      state.lastRecallMs = clock.monotonicMs();
       this.#counts.recalls += 1;
       await peers.recall(budget, others);
     }
     if (missing() <= 0) return;
-    const again = await this.#acquire(budget, missing());
-    if (again.kind === 'denied' && missing() > 0) throw exhausted(budget, tokens, again);
+    const retryResult = await this.#requestGrant(budget, missing());
+    if (retryResult.kind === 'denied' && missing() > 0)
+      throw createExhaustedError(budget, tokens, retryResult);
   }
 
-  /** Whether enough came. */
+  /** Asks peers for tokens and returns whether they sent enough. */
   async #askPeers(budget: BudgetRef, missingTokens: number): Promise<boolean> {
     const { clock, peers } = this.#options;
     const askedMs = clock.monotonicMs();
     const transfers = await peers.askTokens(budget, missingTokens);
     for (const { grantId, tokens, remainingMs } of transfers) {
       const spendableUntilMs = askedMs + remainingMs;
-      this.#held.add({ grantId, budget, tokens, spendableUntilMs, isTransferred: true });
+      this.#heldGrants.add({ grantId, budget, tokens, spendableUntilMs, isTransferred: true });
       this.#counts.receivedTokens += tokens;
     }
     if (transfers.length > 0) this.#scheduleSweep();
     return transfers.reduce((sum, { tokens }) => sum + tokens, 0) >= missingTokens;
   }
 
-  /** Waits for a refill that is under way. */
-  async #refilled(budget: BudgetRef): Promise<void> {
-    await this.#acquiring.get(budget.budgetId)?.catch(ignoreTrouble);
+  /** Waits for a pending grant operation, if there is one. */
+  async #waitForPendingGrant(budget: BudgetRef): Promise<void> {
+    await this.#pendingGrants.get(budget.budgetId)?.catch(ignoreTransientError);
   }
 
-  /** Takes a grant; whoever needs one meanwhile shares it. */
-  #acquire(budget: BudgetRef, missingTokens: number): Promise<OperationResult> {
-    const underWay = this.#acquiring.get(budget.budgetId);
-    if (underWay !== undefined) return underWay;
-    const acquiring = this.#acquireNow(budget, missingTokens).finally(() => {
-      this.#acquiring.delete(budget.budgetId);
+  /** Requests a grant; concurrent calls for the same budget share one operation. */
+  #requestGrant(budget: BudgetRef, missingTokens: number): Promise<OperationResult> {
+    const pending = this.#pendingGrants.get(budget.budgetId);
+    if (pending !== undefined) return pending;
+    const pendingGrant = this.#submitGrant(budget, missingTokens).finally(() => {
+      this.#pendingGrants.delete(budget.budgetId);
     });
-    acquiring.catch(() => undefined);
-    this.#acquiring.set(budget.budgetId, acquiring);
-    return acquiring;
+    pendingGrant.catch(() => undefined);
+    this.#pendingGrants.set(budget.budgetId, pendingGrant);
+    return pendingGrant;
   }
 
-  async #acquireNow(budget: BudgetRef, missingTokens: number): Promise<OperationResult> {
+  async #submitGrant(budget: BudgetRef, missingTokens: number): Promise<OperationResult> {
     const { clock, grantLifetimeMs } = this.#options;
     const spendableUntilMs = clock.monotonicMs() + grantLifetimeMs;
-    const operation = this.#grantOperation(budget, missingTokens);
-    const results = await this.#submit(budget, [...this.#held.takeSpent(budget), operation]);
+    const operation = this.#createGrantOperation(budget, missingTokens);
+    const results = await this.#submit(budget, [...this.#heldGrants.takeSpent(budget), operation]);
     const result = results.at(-1);
-    if (result === undefined) throw new RouterError('internal', 'a grant had no result');
+    if (result === undefined)
+      throw new RouterError('internal', 'a grant operation returned no result');
     if (result.kind === 'granted') {
       const { grantId } = operation;
       const { tokens } = result;
-      this.#held.add({ grantId, budget, tokens, spendableUntilMs, isTransferred: false });
+      this.#heldGrants.add({ grantId, budget, tokens, spendableUntilMs, isTransferred: false });
       this.#scheduleSweep();
     }
     if (result.kind === 'granted' || result.kind === 'denied') {
-      this.#useOf(budget).lastAvailableTokens = result.availableTokens;
+      this.#stateOf(budget).lastAvailableTokens = result.availableTokens;
     }
     return result;
   }
 
-  #grantOperation(budget: BudgetRef, missingTokens: number): GrantOperation {
+  #createGrantOperation(budget: BudgetRef, missingTokens: number): GrantOperation {
     const { clock, instanceId, incarnation, grantLifetimeMs, peers } = this.#options;
     this.#counts.grants += 1;
-    const wish = this.#wish(budget, missingTokens);
-    const heldTokens = this.#held.availableTokens(budget);
+    const plan = this.#planGrant(budget, missingTokens);
+    const heldTokens = this.#heldGrants.availableTokens(budget);
     return {
       kind: 'grant',
       budget,
       grantId: `${instanceId}.${incarnation}.${this.#counts.grants}` as GrantId,
       holder: instanceId,
       minTokens: missingTokens,
-      wantedTokens: Math.max(missingTokens, wish.wantedTokens - heldTokens),
-      maxShare: wish.maxShare,
-      maxTotalShare: wish.maxTotalShare,
-      awayWeight: wish.awayWeight,
+      wantedTokens: Math.max(missingTokens, plan.wantedTokens - heldTokens),
+      maxShare: plan.maxShare,
+      maxTotalShare: plan.maxTotalShare,
+      awayWeight: plan.unreachableWeight,
       reachable: peers.reachable(),
       expiresAtMs: clock.wallMs() + grantLifetimeMs,
     };
   }
 
-  #wish(budget: BudgetRef, neededTokens: number): GrantWish {
+  #planGrant(budget: BudgetRef, neededTokens: number): GrantPlan {
     const tokensPerMinute = this.#demand.tokensPerMinute(budget.budgetId);
-    const { lastAvailableTokens } = this.#useOf(budget);
-    return this.#options.policy.wish({ neededTokens, tokensPerMinute, lastAvailableTokens });
+    const { lastAvailableTokens } = this.#stateOf(budget);
+    return this.#options.policy.plan({ neededTokens, tokensPerMinute, lastAvailableTokens });
   }
 
-  /** Takes the next grant ahead of need, so that a partition finds this instance provided for. */
-  #refill(budget: BudgetRef, share: number): void {
-    const { refillBelowTokens } = this.#wish(budget, 1);
-    if (this.#held.availableTokens(budget) >= share * refillBelowTokens) return;
-    const use = this.#useOf(budget);
+  /** Requests the next grant in advance, so that this instance has tokens during a partition. */
+  #refillIfLow(budget: BudgetRef, share: number): void {
+    const { refillBelowTokens } = this.#planGrant(budget, 1);
+    if (this.#heldGrants.availableTokens(budget) >= share * refillBelowTokens) return;
+    const state = this.#stateOf(budget);
     const nowMs = this.#options.clock.monotonicMs();
-    if (nowMs - use.lastRefillMs < refillEveryMs) return;
-    use.lastRefillMs = nowMs;
-    void this.#acquire(budget, 0).catch(() => undefined);
+    if (nowMs - state.lastRefillMs < minRefillIntervalMs) return;
+    state.lastRefillMs = nowMs;
+    void this.#requestGrant(budget, 0).catch(() => undefined);
   }
 
-  async #giveBack(budget: BudgetRef): Promise<void> {
-    const returns = this.#held.takeIdle(budget);
+  async #returnIdleTokens(budget: BudgetRef): Promise<void> {
+    const returns = this.#heldGrants.takeIdle(budget);
     if (returns.length > 0) await this.#submit(budget, returns);
   }
 
-  #handOver(budget: BudgetRef, tokens: number): readonly TransferredTokens[] {
-    const transfers = this.#held.handOver(budget, tokens);
-    this.#counts.passedOnTokens += transfers.reduce((sum, transfer) => sum + transfer.tokens, 0);
+  #transferTokens(budget: BudgetRef, tokens: number): readonly TransferredTokens[] {
+    const transfers = this.#heldGrants.handOver(budget, tokens);
+    this.#counts.transferredTokens += transfers.reduce((sum, transfer) => sum + transfer.tokens, 0);
     return transfers;
   }
 
@@ -472,111 +476,127 @@
     request: SettleRequest,
   ): Promise<OperationResult> {
     const { clock, random } = this.#options;
-    // In the same turn as the bill, so both are one write.
-    this.#refill(budget, 1);
-    let backOffMs = firstBillBackOffMs;
+    // In the same event loop turn as the bill, so that one write covers both.
+    this.#refillIfLow(budget, 1);
+    let backoffMs = initialBillBackoffMs;
     for (;;) {
       try {
         const bill = { kind: 'bill', budget, parts, ...request } as const;
         const [result] = await this.#submit(budget, [bill]);
         if (result !== undefined) return result;
       } catch (error) {
-        if (!(error instanceof RouterError) || !isPassing(error)) throw error;
+        if (!(error instanceof RouterError) || !isTransient(error)) throw error;
       }
-      await clock.sleep(backOffMs * random());
-      backOffMs = Math.min(longestBillBackOffMs, backOffMs * 2);
+      await clock.sleep(backoffMs * random());
+      backoffMs = Math.min(maxBillBackoffMs, backoffMs * 2);
     }
   }
 
-  /** Writes operations, and before them the returns of which it is not known whether they hold. */
+  /** Submits operations, preceded by earlier returns whose write was not confirmed. */
   async #submit(
     budget: BudgetRef,
     operations: readonly PageOperation[],
   ): Promise<OperationResult[]> {
     const pageKey = pageKeyOf(budget);
-    const earlier = this.#unconfirmed.take(pageKey);
+    const earlier = this.#unconfirmedReturns.take(pageKey);
     try {
       const results = await this.#writer.submit(pageKey, [...earlier, ...operations]);
-      this.#isStoreInTrouble = false;
+      this.#isStoreFailing = false;
       return results.slice(earlier.length);
     } catch (error) {
-      if (error instanceof RouterError && isPassing(error)) this.#isStoreInTrouble = true;
-      this.#unconfirmed.add(pageKey, [...earlier, ...operations]);
+      if (error instanceof RouterError && isTransient(error)) this.#isStoreFailing = true;
+      this.#unconfirmedReturns.add(pageKey, [...earlier, ...operations]);
       throw error;
     }
   }
 
   #scheduleSweep(): void {
     if (this.#isDisposed || this.#sweepTimer !== undefined) return;
-    this.#sweepTimer = this.#options.clock.schedule(sweepMs, () => {
+    this.#sweepTimer = this.#options.clock.schedule(sweepIntervalMs, () => {
       this.#sweepTimer = undefined;
-      for (const budget of this.#held.budgets()) void this.#sweep(budget).catch(() => undefined);
-      if (this.#held.size > 0) this.#scheduleSweep();
+      for (const budget of this.#heldGrants.budgets())
+        void this.#sweep(budget).catch(() => undefined);
+      if (this.#heldGrants.size > 0) this.#scheduleSweep();
     });
   }
 
-  /** Gives back what rests or has ended, and prolongs what is in use. */
+  /** Returns the grants of an unused budget, and renews those of a budget in use. */
   async #sweep(budget: BudgetRef): Promise<void> {
     const { clock, grantLifetimeMs } = this.#options;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.#useOf(budget).lastUsedMs >= idleMs) {
-      this.#uses.delete(budget.budgetId);
-      this.#demand.forget(budget.budgetId);
-      await this.#giveBack(budget);
+    if (nowMs - this.#stateOf(budget).lastUsedMs >= budgetIdleTimeoutMs) {
+      this.#budgetStates.delete(budget.budgetId);
+      this.#demand.remove(budget.budgetId);
+      await this.#returnIdleTokens(budget);
       return;
     }
     const expiresAtMs = clock.wallMs() + grantLifetimeMs;
-    const renewals = this.#held.renewals(budget, renewShare * grantLifetimeMs, expiresAtMs);
-    if (renewals.length === 0 || this.#isStoreInTrouble) return;
+    const renewals = this.#heldGrants.renewals(
+      budget,
+      renewThresholdShare * grantLifetimeMs,
+      expiresAtMs,
+    );
+    if (renewals.length === 0 || this.#isStoreFailing) return;
     const results = await this.#submit(budget, renewals);
     renewals.forEach((renewal, index) => {
-      this.#setEnd(renewal, results[index], nowMs + grantLifetimeMs);
+      this.#applyRenewal(renewal, results[index], nowMs + grantLifetimeMs);
     });
   }
 
-  #setEnd(renewal: RenewOperation, result: OperationResult | undefined, untilMs: number): void {
+  #applyRenewal(
+    renewal: RenewOperation,
+    result: OperationResult | undefined,
+    spendableUntilMs: number,
+  ): void {
     const { budget, grantId } = renewal;
-    if (result?.kind === 'renewed') this.#held.setEnd(budget, grantId, untilMs);
-    if (result?.kind === 'gone') this.#held.setEnd(budget, grantId, 0);
+    if (result?.kind === 'renewed') this.#heldGrants.setExpiry(budget, grantId, spendableUntilMs);
+    if (result?.kind === 'gone') this.#heldGrants.setExpiry(budget, grantId, 0);
   }
 
-  #useOf(budget: BudgetRef): BudgetUse {
-    const found = this.#uses.get(budget.budgetId);
+  #stateOf(budget: BudgetRef): BudgetState {
+    const found = this.#budgetStates.get(budget.budgetId);
     if (found !== undefined) return found;
-    const use: BudgetUse = {
+    const state: BudgetState = {
       lastUsedMs: this.#options.clock.monotonicMs(),
       lastRefillMs: -Infinity,
       lastRecallMs: -Infinity,
       lastAvailableTokens: undefined,
     };
-    this.#uses.set(budget.budgetId, use);
-    return use;
+    this.#budgetStates.set(budget.budgetId, state);
+    return state;
   }
 }
 
 function checkTokens(tokens: number): void {
   if (Number.isSafeInteger(tokens) && tokens > 0) return;
-  throw new RouterError('badRequest', `a request reserves whole tokens, at least 1, not ${tokens}`);
+  throw new RouterError(
+    'badRequest',
+    `a reservation must be a positive whole number of tokens, got ${tokens}`,
+  );
 }
 
-/** The store did not answer, or too much waits for it: both pass. */
-function isPassing(error: RouterError): boolean {
+/** Whether an error is temporary: the store did not respond, or its queue is full. */
+function isTransient(error: RouterError): boolean {
   return error.kind === 'storeUnavailable' || error.kind === 'overloaded';
 }
 
-function ignoreTrouble(error: unknown): undefined {
-  if (error instanceof RouterError && isPassing(error)) return undefined;
+function ignoreTransientError(error: unknown): undefined {
+  if (error instanceof RouterError && isTransient(error)) return undefined;
   throw error;
 }
 
-function tooLate(budget: BudgetRef): RouterError {
-  const message = `neither the store nor peers had tokens of ${budget.budgetId} in time`;
+function createTimeoutError(budget: BudgetRef): RouterError {
+  const message = `neither the store nor a peer provided tokens of budget ${budget.budgetId} in time`;
   return new RouterError('storeUnavailable', message);
 }
 
-function exhausted(budget: BudgetRef, neededTokens: number, denied: DeniedResult): RouterError {
+function createExhaustedError(
+  budget: BudgetRef,
+  neededTokens: number,
+  denied: DeniedResult,
+): RouterError {
   return new RouterError(
     'budgetExhausted',
-    `budget ${budget.budgetId} has ${denied.availableTokens} tokens that are not in use; ${neededTokens} are needed`,
+    `budget ${budget.budgetId} has ${denied.availableTokens} available tokens; ${neededTokens} are needed`,
   );
 }
--- a/packages/ledger/src/DemandGrantPolicy/index.ts
+++ b/packages/ledger/src/DemandGrantPolicy/index.ts
@@ -1,26 +1,26 @@
-import { GrantPolicy, type GrantRequest, type GrantWish } from '../GrantPolicy/index.js';
+import { GrantPolicy, type GrantRequest, type GrantPlan } from '../GrantPolicy/index.js';
 
 /** Options of {@link DemandGrantPolicy}. */
 export interface DemandGrantPolicyOptions {
-  /** How many minutes of its own draw an instance holds, to live through a partition. */
+  /** How many minutes of its own demand an instance holds, to keep working during a partition. */
   horizonMinutes?: number;
-  /** The largest share of the remainder to hold: this makes grants shrink near the end. */
+  /** The largest share of the unsettled tokens to hold; grants shrink as the budget runs out. */
   maxShare?: number;
-  /** The largest share that all grants may hold: the rest outlives lost instances. */
+  /** The largest share that all grants may hold; the rest is not affected by lost instances. */
   maxTotalShare?: number;
-  /** How many times grants of unreachable holders count: losses make the others careful. */
-  awayWeight?: number;
-  /** Refill once less than this share of what is wanted is left. */
+  /** The factor by which grants of unreachable holders count, so that losses make other grants smaller. */
+  unreachableWeight?: number;
+  /** Refill when less than this share of the requested size is left. */
   refillShare?: number;
 }
 
 /**
- * Holds some minutes of this instance's own draw, and never more at a time than a small share of
- * what the budget has left; near the end idle remainders are recalled.
+ * Holds a few minutes of this instance's own demand, but at most a small share of the budget's
+ * unsettled tokens. When a grant is denied, idle tokens are recalled from other instances.
  */
 export class DemandGrantPolicy extends GrantPolicy {
   override readonly name = 'demand';
-  override readonly isRecalling = true;
+  override readonly isRecallEnabled = true;
   readonly #options: Required<DemandGrantPolicyOptions>;
 
   constructor(options: DemandGrantPolicyOptions = {}) {
@@ -29,18 +29,25 @@
       horizonMinutes: 10,
       maxShare: 0.2,
       maxTotalShare: 0.6,
-      awayWeight: 2,
+      unreachableWeight: 2,
       refillShare: 0.8,
       ...options,
     };
   }
 
-  override wish(request: GrantRequest): GrantWish {
-    const { horizonMinutes, maxShare, maxTotalShare, awayWeight, refillShare } = this.#options;
+  override plan(request: GrantRequest): GrantPlan {
+    const { horizonMinutes, maxShare, maxTotalShare, unreachableWeight, refillShare } =
+      this.#options;
     const { neededTokens, tokensPerMinute, lastAvailableTokens } = request;
     const wantedTokens = Math.max(neededTokens, Math.ceil(tokensPerMinute * horizonMinutes));
-    const reachableTokens = (lastAvailableTokens ?? Infinity) * maxShare;
-    const refillBelowTokens = Math.floor(refillShare * Math.min(wantedTokens, reachableTokens));
-    return { wantedTokens, maxShare, maxTotalShare, awayWeight, refillBelowTokens };
+    const maxGrantTokens = (lastAvailableTokens ?? Infinity) * maxShare;
+    const refillBelowTokens = Math.floor(refillShare * Math.min(wantedTokens, maxGrantTokens));
+    return {
+      wantedTokens,
+      maxShare,
+      maxTotalShare,
+      unreachableWeight,
+      refillBelowTokens,
+    };
   }
 }
--- a/packages/ledger/src/EqualSplitGrantPolicy/index.ts
+++ b/packages/ledger/src/EqualSplitGrantPolicy/index.ts
@@ -1,9 +1,9 @@
-import { GrantPolicy, type GrantRequest, type GrantWish } from '../GrantPolicy/index.js';
+import { GrantPolicy, type GrantRequest, type GrantPlan } from '../GrantPolicy/index.js';
 
-/** Takes, of what is available, the share that falls to each instance. */
+/** Requests up to an equal share of the budget for each instance. */
 export class EqualSplitGrantPolicy extends GrantPolicy {
   override readonly name = 'equalSplit';
-  override readonly isRecalling = false;
+  override readonly isRecallEnabled = false;
   readonly #instances: number;
 
   constructor(instances = 5) {
@@ -11,13 +11,13 @@
     this.#instances = instances;
   }
 
-  override wish(request: GrantRequest): GrantWish {
+  override plan(request: GrantRequest): GrantPlan {
     const wantedTokens = Math.max(request.neededTokens, Number.MAX_SAFE_INTEGER);
     return {
       wantedTokens,
       maxShare: 1 / this.#instances,
       maxTotalShare: 1,
-      awayWeight: 1,
+      unreachableWeight: 1,
       refillBelowTokens: 0,
     };
   }
--- a/packages/ledger/src/FixedGrantPolicy/index.ts
+++ b/packages/ledger/src/FixedGrantPolicy/index.ts
@@ -1,9 +1,9 @@
-import { GrantPolicy, type GrantRequest, type GrantWish } from '../GrantPolicy/index.js';
+import { GrantPolicy, type GrantRequest, type GrantPlan } from '../GrantPolicy/index.js';
 
-/** Always asks for the same amount. */
+/** Requests the same amount each time, or more if a request needs it. */
 export class FixedGrantPolicy extends GrantPolicy {
   override readonly name = 'fixed';
-  override readonly isRecalling = false;
+  override readonly isRecallEnabled = false;
   readonly #sizeTokens: number;
 
   constructor(sizeTokens = 20_000) {
@@ -11,8 +11,14 @@
     this.#sizeTokens = sizeTokens;
   }
 
-  override wish(request: GrantRequest): GrantWish {
+  override plan(request: GrantRequest): GrantPlan {
     const wantedTokens = Math.max(request.neededTokens, this.#sizeTokens);
-    return { wantedTokens, maxShare: 1, maxTotalShare: 1, awayWeight: 1, refillBelowTokens: 0 };
+    return {
+      wantedTokens,
+      maxShare: 1,
+      maxTotalShare: 1,
+      unreachableWeight: 1,
+      refillBelowTokens: 0,
+    };
   }
 }
--- a/packages/ledger/src/GrantPeers/index.ts
+++ b/packages/ledger/src/GrantPeers/index.ts
@@ -2,54 +2,54 @@
 import type { BudgetRef } from '../types.js';
 
 /**
- * Tokens of a grant that its holder passed on. They stay charged to that grant in the page, so the
- * page's sums hold without a write: the receiver bills against the grant's id.
+ * Tokens of a grant that its holder transferred to a peer. They remain part of that grant in the page,
+ * so the page stays consistent without a write: the receiver bills against the same grant id.
  */
 export interface TransferredTokens {
   readonly grantId: GrantId;
   readonly tokens: number;
-  /** How long they may be spent, in milliseconds, counted from when they were asked for. */
+  /** How long they may be spent, in milliseconds from the time of the request for them. */
   readonly remainingMs: number;
 }
 
-/** What an instance does for its peers. */
+/** Handles requests of peers. */
 export interface GrantPeerHandler {
-  /** Writes the idle tokens of a budget back to its page; resolves when that is durable. */
+  /** Returns the idle tokens of a budget to its page; resolves when this is durable. */
   giveBack(budget: BudgetRef): Promise<void>;
-  /** Passes on up to so many idle tokens; from now on they are no longer this instance's. */
+  /** Transfers up to `tokens` idle tokens, which this instance must no longer spend. */
   handOver(budget: BudgetRef, tokens: number): readonly TransferredTokens[];
 }
 
 /**
- * The other instances, as the ledger needs them. Messages may be lost: an answer with tokens that
- * is lost strands them until their grant ends, and an answer is never taken twice.
+ * Communication with the other instances about grants. Messages may be lost: tokens in a lost response
+ * stay unavailable until their grant expires. A response must never be processed twice.
  */
 export abstract class GrantPeers {
   /**
-   * Answers what peers ask.
+   * Registers the handler for requests of peers.
    *
-   * @returns dispose of it to answer no more
+   * @returns a disposable that unregisters the handler
    */
   abstract serve(handler: GrantPeerHandler): Disposable;
 
-  /** Who can be reached now, this instance too; undefined where that is not known. */
+  /** Instances that can be reached now, including this one; undefined if unknown. */
   abstract reachable(): ReadonlySet<InstanceId> | undefined;
 
   /**
-   * Asks holders to give idle tokens back to the page.
+   * Asks holders to return their idle tokens to the page.
    *
-   * @param budget - whose tokens
-   * @param holders - who holds grants of it
-   * @returns when all have answered, or after a bounded time
+   * @param budget - the budget of the tokens
+   * @param holders - instances that hold grants of the budget
+   * @returns resolves when all holders have responded, or after a timeout
    */
   abstract recall(budget: BudgetRef, holders: readonly InstanceId[]): Promise<void>;
 
   /**
-   * Asks all peers that can be reached for tokens; used while the store cannot be reached.
+   * Asks all reachable peers for tokens; used while the store is unavailable.
    *
-   * @param budget - whose tokens
-   * @param tokens - how many are missing; more or fewer may come
-   * @returns what came within a bounded time
+   * @param budget - the budget of the tokens
+   * @param tokens - how many are missing; the peers may send more or fewer
+   * @returns the tokens received before a timeout
    */
   abstract askTokens(budget: BudgetRef, tokens: number): Promise<readonly TransferredTokens[]>;
 }
--- a/packages/ledger/src/GrantPolicy/index.ts
+++ b/packages/ledger/src/GrantPolicy/index.ts
@@ -1,41 +1,41 @@
 /**
- * How much to set aside at a time.
+ * Policies for the size of grants.
  *
- * The size of a grant decides between false refusals (tokens stranded with other instances), and
- * writes to the store.
+ * The size is a trade-off: large grants cause false refusals, as other instances hold unused tokens,
+ * and small grants cause more writes to the store.
  */
 
-/** What a policy may look at. */
+/** The inputs of a policy. */
 export interface GrantRequest {
-  /** What the waiting request needs, in tokens. */
+  /** Tokens that the waiting request needs. */
   readonly neededTokens: number;
-  /** What this instance draws from the budget in a minute, in tokens. */
+  /** The rate at which this instance reserves tokens of the budget, per minute. */
   readonly tokensPerMinute: number;
-  /** What was available in the page when it was last seen, in tokens; undefined when never seen. */
+  /** Available tokens of the page when last read or written; undefined if that never happened. */
   readonly lastAvailableTokens: number | undefined;
 }
 
-/** What a policy asks for. */
-export interface GrantWish {
-  /** How many tokens to ask for, at least `neededTokens`. */
+/** The grant to request, as a policy decided. */
+export interface GrantPlan {
+  /** How many tokens to request, at least `neededTokens`. */
   readonly wantedTokens: number;
-  /** The largest share of the budget's remainder to hold here, in (0, 1]. */
+  /** The largest share of the budget's unsettled tokens that this instance may hold, in (0, 1]. */
   readonly maxShare: number;
-  /** The largest share of the budget's remainder that all grants may hold, in (0, 1]. */
+  /** The largest share of the budget's unsettled tokens that all grants may hold, in (0, 1]. */
   readonly maxTotalShare: number;
-  /** How many times the grants of holders that cannot be reached count towards that share. */
-  readonly awayWeight: number;
-  /** Ask again, ahead of need, once less than this is left here; 0 never does. */
+  /** The factor by which grants of unreachable holders count towards `maxTotalShare`. */
+  readonly unreachableWeight: number;
+  /** Request the next grant in advance when fewer tokens are available here; 0 for never. */
   readonly refillBelowTokens: number;
 }
 
-/** Decides the size of grants. */
+/** Decides how many tokens to set aside at a time. */
 export abstract class GrantPolicy {
-  /** The policy's name, for experiments and settings. */
+  /** The name of the policy in experiments and settings. */
   abstract readonly name: string;
-  /** Whether a denied instance asks the holders to give their idle remainders back. */
-  abstract readonly isRecalling: boolean;
+  /** Whether an instance whose grant was denied asks the holders to return their idle tokens. */
+  abstract readonly isRecallEnabled: boolean;
 
-  /** How much to set aside now. */
-  abstract wish(request: GrantRequest): GrantWish;
+  /** Decides on the next grant. */
+  abstract plan(request: GrantRequest): GrantPlan;
 }
--- a/packages/ledger/src/NoGrantPeers/index.ts
+++ b/packages/ledger/src/NoGrantPeers/index.ts
@@ -1,6 +1,6 @@
 import { GrantPeers, type TransferredTokens } from '../GrantPeers/index.js';
 
-/** An instance without peers. */
+/** For an instance without peers. */
 export class NoGrantPeers extends GrantPeers {
   override serve(): Disposable {
     return { [Symbol.dispose]: () => undefined };
--- a/packages/ledger/src/NoPrepaidPeers/index.ts
+++ b/packages/ledger/src/NoPrepaidPeers/index.ts
@@ -1,6 +1,6 @@
 import { PrepaidPeers, type LoanAnswer } from '../PrepaidPeers/index.js';
 
-/** An instance alone: every account's stock is gathered here. */
+/** For an instance without peers, which is the home of every account. */
 export class NoPrepaidPeers extends PrepaidPeers {
   override homeOf(): undefined {
     return undefined;
--- a/packages/ledger/src/PageWriter/index.ts
+++ b/packages/ledger/src/PageWriter/index.ts
@@ -9,31 +9,31 @@
   store: ObjectStore;
   clock: Clock;
   random: Random;
-  /** How long after its expiry a grant returns to its budget, in milliseconds. */
+  /** How long after its expiry a grant is returned to its budget, in milliseconds. */
   graceMs: number;
-  /** How long a request key protects against a second bill, in milliseconds. */
+  /** How long a request key prevents a second bill, in milliseconds. */
   keyProtectionMs: number;
-  /** How long bills of a busy page gather before they are written, in milliseconds. */
+  /** How long operations of a busy page are collected before they are written, in milliseconds. */
   groupCommitMs?: number;
-  /** How often one update is tried. */
+  /** The maximum number of attempts per update. */
   maxAttempts?: number;
-  /** How many operations may wait for one page. */
-  maxWaiting?: number;
-  /** How many pages are kept as last written. */
-  maxKnownPages?: number;
+  /** The maximum number of queued operations per page. */
+  maxQueuedOperations?: number;
+  /** The maximum number of cached pages. */
+  maxCachedPages?: number;
 }
 
-interface WaitingOperation {
+interface QueuedOperation {
   readonly operation: PageOperation;
   readonly resolve: (result: OperationResult) => void;
   readonly reject: (error: Error) => void;
 }
 
-interface KnownPage {
+interface CachedPage {
   readonly page: LedgerPage;
   readonly condition: WriteCondition;
-  /** How often in a row nobody else had written since this instance last looked. */
-  readonly quietTimes: number;
+  /** How many consecutive reads found the page unchanged by other writers. */
+  readonly unchangedReads: number;
 }
 
 interface AppliedBatch {
@@ -42,31 +42,32 @@
 }
 
 /**
- * After how many quiet times a page is written without being read first. A page that others write
- * too would conflict, which costs a write; the platform grants fewer of those than reads.
+ * After this many unchanged reads a page is written without being read first. For a page with other
+ * writers this would cause conflicts, each of which costs a write, and the platform allows fewer
+ * writes than reads.
  */
-const quietTimesToTrust = 2;
-/** A page that was written within so many gathering times is busy; on another nobody waits. */
-const busyWindows = 4;
-const firstBackOffMs = 20;
-const longestBackOffMs = 2_000;
+const unchangedReadsToTrust = 2;
+/** A page is busy if it was written within this many `groupCommitMs`; other pages are not delayed. */
+const busyPeriodWindows = 4;
+const initialBackoffMs = 20;
+const maxBackoffMs = 2_000;
 
 /**
- * Writes pages in group commits: while one update of a page is under way, what arrives gathers and
- * goes into the next, so the writes per request fall as load rises.
+ * Writes pages in group commits: operations that arrive while an update of their page is under way are
+ * queued and written together in the next one, so the writes per request decrease as load increases.
  *
- * A page that nobody else writes is written without being read first.
+ * A page without other writers is written without being read first.
  */
 export class PageWriter {
   readonly #options: PageWriterOptions;
   readonly #applyOptions: Omit<ApplyOperationOptions, 'nowMs'>;
-  readonly #waiting = new Map<string, WaitingOperation[]>();
-  readonly #known = new Map<string, KnownPage>();
-  readonly #keyCounts = new Map<string, number>();
-  readonly #committedMs = new Map<string, number>();
-  /** Conditional updates that took effect, for the metrics. */
+  readonly #queues = new Map<string, QueuedOperation[]>();
+  readonly #cachedPages = new Map<string, CachedPage>();
+  readonly #requestKeyCounts = new Map<string, number>();
+  readonly #lastCommitMs = new Map<string, number>();
+  /** Conditional writes that succeeded, for metrics. */
   commits = 0;
-  /** Conditional updates that lost against another writer, for the metrics. */
+  /** Conditional writes that failed because another writer was first, for metrics. */
   conflicts = 0;
 
   constructor(options: PageWriterOptions) {
@@ -75,19 +76,19 @@
   }
 
   /**
-   * Applies operations to a page, durably and together.
+   * Applies operations to a page, durably and in one write.
    *
-   * @param pageKey - which page
-   * @param operations - what to do, in order
-   * @returns what each did
+   * @param pageKey - the key of the page
+   * @param operations - the changes, in order
+   * @returns the result of each operation
    * @throws RouterError `storeUnavailable` (the operations may have taken effect; they are
-   * idempotent, so submit them again), `overloaded` when too many wait, or `internal` when the page
-   * cannot be read
+   * idempotent, so submit them again), `overloaded` if the queue is full, or `internal` if the page
+   * does not parse
    */
   async submit(pageKey: string, operations: readonly PageOperation[]): Promise<OperationResult[]> {
-    const queue = this.#waiting.get(pageKey);
-    if (queue !== undefined && queue.length >= (this.#options.maxWaiting ?? 10_000)) {
-      throw new RouterError('overloaded', `too many changes wait for ${pageKey}`);
+    const queue = this.#queues.get(pageKey);
+    if (queue !== undefined && queue.length >= (this.#options.maxQueuedOperations ?? 10_000)) {
+      throw new RouterError('overloaded', `the queue of operations for ${pageKey} is full`);
     }
     const results = operations.map(
       (operation) =>
@@ -98,44 +99,44 @@
     return Promise.all(results);
   }
 
-  /** How many request keys a page held when this instance last wrote it. */
-  keysIn(pageKey: string): number {
-    return this.#keyCounts.get(pageKey) ?? 0;
+  /** The number of request keys in a page, as last read or written by this instance. */
+  requestKeyCount(pageKey: string): number {
+    return this.#requestKeyCounts.get(pageKey) ?? 0;
   }
 
-  #enqueue(pageKey: string, entry: WaitingOperation): void {
-    const queue = this.#waiting.get(pageKey);
+  #enqueue(pageKey: string, entry: QueuedOperation): void {
+    const queue = this.#queues.get(pageKey);
     if (queue !== undefined) {
       queue.push(entry);
       return;
     }
-    this.#waiting.set(pageKey, [entry]);
-    void this.#drain(pageKey);
+    this.#queues.set(pageKey, [entry]);
+    void this.#commitQueued(pageKey);
   }
 
-  async #drain(pageKey: string): Promise<void> {
+  async #commitQueued(pageKey: string): Promise<void> {
     for (;;) {
-      await this.#gather(pageKey);
-      const batch = this.#waiting.get(pageKey)?.splice(0) ?? [];
+      await this.#waitForBatch(pageKey);
+      const batch = this.#queues.get(pageKey)?.splice(0) ?? [];
       if (batch.length === 0) break;
       await this.#commit(pageKey, batch);
     }
-    this.#waiting.delete(pageKey);
+    this.#queues.delete(pageKey);
   }
 
-  /** On a busy page bills wait for others to join them; a request that waits for a grant is not held up. */
-  async #gather(pageKey: string): Promise<void> {
-    // What is submitted in the same turn belongs into the same commit.
+  /** Waits for more operations of a busy page, unless a grant is queued, for which a request may wait. */
+  async #waitForBatch(pageKey: string): Promise<void> {
+    // Operations submitted in the same event loop turn go into the same commit.
     await Promise.resolve();
-    const queue = this.#waiting.get(pageKey) ?? [];
+    const queue = this.#queues.get(pageKey) ?? [];
     const isUrgent = queue.some(({ operation }) => operation.kind === 'grant');
     const { groupCommitMs = 0, clock } = this.#options;
-    const sinceCommitMs = clock.monotonicMs() - (this.#committedMs.get(pageKey) ?? -Infinity);
-    const isBusy = sinceCommitMs < busyWindows * groupCommitMs;
+    const sinceCommitMs = clock.monotonicMs() - (this.#lastCommitMs.get(pageKey) ?? -Infinity);
+    const isBusy = sinceCommitMs < busyPeriodWindows * groupCommitMs;
     if (isBusy && queue.length > 0 && !isUrgent) await clock.sleep(groupCommitMs);
   }
 
-  async #commit(pageKey: string, batch: readonly WaitingOperation[]): Promise<void> {
+  async #commit(pageKey: string, batch: readonly QueuedOperation[]): Promise<void> {
     try {
       const results = await this.#update(pageKey, batch);
       batch.forEach((entry, index) => {
@@ -148,15 +149,16 @@
   }
 
   /**
-   * Tries until the batch is in the store. The answer to a write can be lost after it took effect:
-   * that shows as an error, the page is then read again, and each operation finds its own id.
+   * Retries until the batch is stored or the attempts are used up. The response to a write can be lost
+   * after the write took effect. This shows as an error; the page is then read again, and each operation
+   * finds its own id.
    */
   async #update(
     pageKey: string,
-    batch: readonly WaitingOperation[],
+    batch: readonly QueuedOperation[],
   ): Promise<readonly OperationResult[]> {
     const { clock, random, maxAttempts = 8 } = this.#options;
-    let backOffMs = firstBackOffMs;
+    let backoffMs = initialBackoffMs;
     let lastError: Error | undefined;
     for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
       try {
@@ -166,29 +168,29 @@
         if (!(error instanceof RouterError) || error.kind !== 'storeUnavailable') throw error;
         lastError = error;
       }
-      this.#known.delete(pageKey);
-      // Writers that collided must not collide again: the back-off is drawn, and grows.
-      await clock.sleep(random() * backOffMs);
-      backOffMs = Math.min(longestBackOffMs, backOffMs * 2);
+      this.#cachedPages.delete(pageKey);
+      // Random, exponentially increasing backoff, so that writers in conflict do not collide again.
+      await clock.sleep(random() * backoffMs);
+      backoffMs = Math.min(maxBackoffMs, backoffMs * 2);
     }
     const cause = lastError === undefined ? {} : { cause: lastError };
     const message = `${pageKey} could not be updated in ${maxAttempts} attempts`;
     throw new RouterError('storeUnavailable', message, cause);
   }
 
-  /** One read, where the page is not known, and one write; undefined when another was faster. */
+  /** Reads the page if the cache is not trusted, and writes it once; undefined on a conflict. */
   async #tryOnce(
     pageKey: string,
-    batch: readonly WaitingOperation[],
+    batch: readonly QueuedOperation[],
   ): Promise<readonly OperationResult[] | undefined> {
-    const known = this.#known.get(pageKey);
-    const isTrusted = known !== undefined && known.quietTimes >= quietTimesToTrust;
-    const before = isTrusted ? known : await this.#read(pageKey, known);
+    const cached = this.#cachedPages.get(pageKey);
+    const isTrusted = cached !== undefined && cached.unchangedReads >= unchangedReadsToTrust;
+    const before = isTrusted ? cached : await this.#read(pageKey, cached);
     const { page, results } = this.#applyAll(before.page, batch);
     if (page === before.page) {
       if (!isTrusted) return results;
-      // Nothing to write, so no condition proves that the page was current: look again.
-      this.#known.delete(pageKey);
+      // Without a write, no condition proves that the cached page was current: read it again.
+      this.#cachedPages.delete(pageKey);
       return this.#tryOnce(pageKey, batch);
     }
     const written = await this.#options.store.write(pageKey, page, before.condition);
@@ -197,40 +199,40 @@
       return undefined;
     }
     this.commits += 1;
-    this.#committedMs.set(pageKey, this.#options.clock.monotonicMs());
+    this.#lastCommitMs.set(pageKey, this.#options.clock.monotonicMs());
     const condition = { kind: 'version', version: written.version } as const;
-    this.#remember(pageKey, { page, condition, quietTimes: before.quietTimes });
+    this.#cachePage(pageKey, { page, condition, unchangedReads: before.unchangedReads });
     return results;
   }
 
-  async #read(pageKey: string, known: KnownPage | undefined): Promise<KnownPage> {
+  async #read(pageKey: string, cached: CachedPage | undefined): Promise<CachedPage> {
     const stored = await this.#options.store.read(pageKey);
-    if (known?.condition.kind === 'version' && known.condition.version === stored?.version) {
-      return { ...known, quietTimes: known.quietTimes + 1 };
+    if (cached?.condition.kind === 'version' && cached.condition.version === stored?.version) {
+      return { ...cached, unchangedReads: cached.unchangedReads + 1 };
     }
     const condition: WriteCondition =
       stored === undefined ? { kind: 'absent' } : { kind: 'version', version: stored.version };
     const page = parsePage(pageKey, stored?.value);
-    const read: KnownPage = { page, condition, quietTimes: 0 };
-    this.#remember(pageKey, read);
+    const read: CachedPage = { page, condition, unchangedReads: 0 };
+    this.#cachePage(pageKey, read);
     return read;
   }
 
-  #remember(pageKey: string, known: KnownPage): void {
-    const { maxKnownPages = 64 } = this.#options;
-    this.#known.delete(pageKey);
-    this.#known.set(pageKey, known);
-    this.#keyCounts.set(pageKey, countKeys(known.page));
-    const [oldest] = this.#known.keys();
-    if (oldest === undefined || this.#known.size <= maxKnownPages) return;
-    this.#known.delete(oldest);
-    this.#committedMs.delete(oldest);
-    this.#keyCounts.delete(oldest);
+  #cachePage(pageKey: string, cached: CachedPage): void {
+    const { maxCachedPages = 64 } = this.#options;
+    this.#cachedPages.delete(pageKey);
+    this.#cachedPages.set(pageKey, cached);
+    this.#requestKeyCounts.set(pageKey, countRequestKeys(cached.page));
+    const [oldest] = this.#cachedPages.keys();
+    if (oldest === undefined || this.#cachedPages.size <= maxCachedPages) return;
+    this.#cachedPages.delete(oldest);
+    this.#lastCommitMs.delete(oldest);
+    this.#requestKeyCounts.delete(oldest);
   }
 
-  #applyAll(page: LedgerPage, batch: readonly WaitingOperation[]): AppliedBatch {
+  #applyAll(page: LedgerPage, batch: readonly QueuedOperation[]): AppliedBatch {
     const nowMs = this.#options.clock.wallMs();
-    const options = { ...this.#applyOptions, nowMs, drafts: new WeakSet() };
+    const options = { ...this.#applyOptions, nowMs, mutableBills: new WeakSet() };
     let current = page;
     const results = batch.map(({ operation }) => {
       const applied = applyOperation(current, operation, options);
@@ -241,7 +243,7 @@
   }
 }
 
-function countKeys(page: LedgerPage): number {
+function countRequestKeys(page: LedgerPage): number {
   return Object.values(page.budgets).reduce(
     (sum, budget) => sum + Object.keys(budget.bills).length,
     0,
--- a/packages/ledger/src/PageWriter/test.ts
+++ b/packages/ledger/src/PageWriter/test.ts
@@ -33,32 +33,32 @@
   expiresAtMs: 2_000_000_000_000,
 });
 
-/** A store of one object that fails in scripted ways. */
+/** A store of one object with configurable failures. */
 class ScriptedStore extends ObjectStore {
   stored: StoredObject | undefined;
   reads = 0;
   writes = 0;
-  conflictsToGive = 0;
+  conflictsToReturn = 0;
   answersToLose = 0;
   isDown = false;
 
   override read(): Promise<StoredObject | undefined> {
     this.reads += 1;
-    return this.isDown ? Promise.reject(down()) : Promise.resolve(this.stored);
+    return this.isDown ? Promise.reject(createUnavailableError()) : Promise.resolve(this.stored);
   }
 
   override write(key: string, value: unknown): Promise<WriteResult> {
     this.writes += 1;
-    if (this.isDown) return Promise.reject(down());
-    if (this.conflictsToGive > 0) {
-      this.conflictsToGive -= 1;
+    if (this.isDown) return Promise.reject(createUnavailableError());
+    if (this.conflictsToReturn > 0) {
+      this.conflictsToReturn -= 1;
       return Promise.resolve({ outcome: 'conflict' });
     }
     const version = (this.stored?.version ?? 0) + 1;
     this.stored = { key, version, value };
     if (this.answersToLose > 0) {
       this.answersToLose -= 1;
-      return Promise.reject(down());
+      return Promise.reject(createUnavailableError());
     }
     return Promise.resolve({ outcome: 'written', version });
   }
@@ -76,7 +76,7 @@
   }
 }
 
-function down(): RouterError {
+function createUnavailableError(): RouterError {
   return new RouterError('storeUnavailable', 'down');
 }
 
@@ -84,13 +84,13 @@
   const clock = new ManualClock();
   const store = new ScriptedStore();
   const random = createRandom(1);
-  const bounds = { graceMs: 1_000, keyProtectionMs: 1_000, groupCommitMs };
-  return { clock, store, writer: new PageWriter({ store, clock, random, ...bounds }) };
+  const limits = { graceMs: 1_000, keyProtectionMs: 1_000, groupCommitMs };
+  return { clock, store, writer: new PageWriter({ store, clock, random, ...limits }) };
 }
 
-// The platform takes a grant's write, and its answer is lost. The instance must not take a second
-// grant for the same wish: the budget would look poorer than it is.
-test('a write whose answer was lost is found again and not done twice', async (t) => {
+// A write of a grant takes effect and its response is lost. The instance must not acquire a second grant
+// for the same operation: the budget would show fewer available tokens than it has.
+test('a write whose response was lost is recognised and not repeated', async (t) => {
   const { clock, store, writer } = start();
   store.answersToLose = 1;
   const [result] = await clock.runUntil(writer.submit('p', [grant('g1')]));
@@ -98,11 +98,11 @@
   t.is(store.writes, 1);
 });
 
-// Many instances write one page at once. Each must back off for longer each time, and give up in
-// bounded time: else the platform's few hundred writes a second all go into collisions.
-test('a conflict storm ends in storeUnavailable after a bounded number of writes', async (t) => {
+// Many instances write one page at once. Each must increase its backoff and give up within a bounded
+// time: the platform's few hundred writes per second would otherwise all be spent on conflicts.
+test('repeated conflicts end in storeUnavailable after a bounded number of writes', async (t) => {
   const { clock, store, writer } = start();
-  store.conflictsToGive = 100;
+  store.conflictsToReturn = 100;
   const error = await t.throwsAsync(clock.runUntil(writer.submit('p', [grant('g1')])));
   t.is((error as RouterError).kind, 'storeUnavailable');
   t.is(store.writes, 8);
@@ -110,7 +110,7 @@
   t.true(clock.monotonicMs() < 5_000);
 });
 
-test('operations that come while a write is under way share the next one', async (t) => {
+test('operations submitted during a write share the next write', async (t) => {
   const { clock, store, writer } = start();
   const first = writer.submit('p', [grant('g1')]);
   const rest = Array.from({ length: 20 }, (_, index) => writer.submit('p', [grant(`h${index}`)]));
@@ -118,7 +118,7 @@
   t.true(store.writes <= 2);
 });
 
-test('a page that nobody else writes is not read each time', async (t) => {
+test('a page without other writers is not read before each write', async (t) => {
   const { clock, store, writer } = start();
   for (let index = 0; index < 10; index += 1) {
     await clock.runUntil(writer.submit('p', [grant(`g${index}`)]));
@@ -127,9 +127,9 @@
   t.true(store.reads <= 3);
 });
 
-// A page of a newer format is in the store after a downgrade. An instance that took it for an empty
-// page would write over every budget in it.
-test('a page that does not parse is left as it is', async (t) => {
+// After a downgrade the store contains a page of a newer format. An instance that treated it as empty
+// would overwrite every budget in it.
+test('a page that does not parse is not overwritten', async (t) => {
   const { clock, store, writer } = start();
   for (const value of [{ format: 2, budgets: {} }, { budgets: 'x' }, 'text', null]) {
     store.stored = { key: 'p', version: 3, value };
--- a/packages/ledger/src/PrepaidAccount/index.ts
+++ b/packages/ledger/src/PrepaidAccount/index.ts
@@ -6,29 +6,33 @@
   type Random,
 } from '@acaciacrank/base';
 import type { ObjectStore, StoredObject } from '@acaciacrank/store';
-import { AccountPace } from '../_lib/AccountPace/index.js';
-import { DryBelief } from '../_lib/DryBelief/index.js';
+import { UsageRate } from '../_lib/AccountPace/index.js';
+import { ExhaustionCache } from '../_lib/DryBelief/index.js';
 import { LoanBook } from '../_lib/LoanBook/index.js';
-import { PrepaidGrant } from '../_lib/PrepaidGrant/index.js';
-import { homeStockMs, openingStock, wantedStock } from '../_lib/prepaidStock/index.js';
+import { StoredGrant } from '../_lib/StoredGrant/index.js';
+import {
+  homeStockDurationMs,
+  initialStockTokens,
+  targetStockTokens,
+} from '../_lib/prepaidStock/index.js';
 import { rankHolders } from '../_lib/rankHolders/index.js';
 import type { LoanAnswer, LoanOutcome, LoanQuestion, PrepaidPeers } from '../PrepaidPeers/index.js';
-import { instanceOf, lifetimeKey } from '../prepaidPage/index.js';
+import { instanceIdOf, lifetimeKey } from '../prepaidPage/index.js';
 import type { Lifetime } from '../types.js';
 
-/** What an attempt to set tokens aside came to. */
+/** The outcome of an attempt to reserve tokens. */
 export type ReserveOutcome = 'reserved' | 'exhausted' | 'heldElsewhere' | 'storeAway';
 
-/** One change of what this instance may spend, for logs. */
+/** A change of the tokens that this instance may spend, for logs. */
 export interface GrantEvent {
   readonly accountId: AccountId;
   readonly what: 'granted' | 'returned' | 'denied' | 'unknown' | 'borrowed' | 'lent';
   readonly tokens: number;
-  /** Tokens of the account that nobody held when it was written. */
+  /** Tokens of the account that were not granted to any instance at that time; undefined if unknown. */
   readonly remainingTokens: number | undefined;
 }
 
-/** Options of `PrepaidAccounts`, which each of its accounts shares. */
+/** Options of `PrepaidAccounts`, shared by all its accounts. */
 export interface PrepaidAccountsOptions {
   lifetime: Lifetime;
   store: ObjectStore;
@@ -36,7 +40,7 @@
   peers: PrepaidPeers;
   onEvent: (event: GrantEvent) => void;
   random: Random;
-  /** Whether the store is known not to answer. */
+  /** Whether the store is known to be unavailable. */
   isStoreAway: () => boolean;
 }
 
@@ -45,101 +49,105 @@
   accountId: AccountId;
 }
 
-/** An account's limit, and the version of the configuration that says so. */
+/** The limit of an account, and the version of the configuration that sets it. */
 export interface PrepaidLimit {
   readonly prepaidTokens: number;
   readonly version: number;
 }
 
-/** Below this share of the wanted stock more is asked for: one instance asks for all, so it can often. */
-const refillShare = 0.85;
-/** Above this multiple of the wanted stock the rest is given back, so that a death costs less. */
-const returnFactor = 1.4;
 /**
- * Less than this share of the prepaid tokens is not worth the call that moves it, unless a request
- * waits for it: a large fleet would else write for each instance and account every second.
+ * Stock is refilled below this share of its target. Refills can be frequent, since only the home calls
+ * the store.
+ */
+const refillThresholdShare = 0.85;
+/** Above this multiple of its target, excess stock is returned, so that a crash loses less. */
+const returnThresholdFactor = 1.4;
+/**
+ * The smallest share of the prepaid tokens that is moved unless a request waits for it. Without it, a
+ * large fleet would write to the store for each instance and account every second.
  */
-const leastMoveShare = 0.004;
-/** A loan beyond what a waiting request needs is at most this share of the lender's stock. */
-const lentShare = 0.25;
-/** The longest pause after a lost race for a page, in milliseconds: a few calls to the store. */
-const conflictPauseMs = 30;
-/** Instances that the home asks for tokens when the store has no more: each takes a few milliseconds. */
+const minMoveShare = 0.004;
+/** The largest share of its remaining stock that a lender adds to what a waiting request needs. */
+const maxSurplusLoanShare = 0.25;
+/** The maximum delay after a write conflict, in milliseconds; the time of a few calls to the store. */
+const maxConflictDelayMs = 30;
+/** The maximum number of holders that the home asks for tokens; each takes a few milliseconds. */
 const maxHoldersAsked = 3;
-/** Conditional writes tried in a row; each loser of a race learns the page from the answer. */
-const maxAttempts = 6;
+/** The maximum attempts of a conditional write; the response to a conflict contains the current page. */
+const maxWriteAttempts = 6;
 
 /**
- * What this lifetime of the instance may spend of one client account.
+ * The prepaid tokens of one client account that this process run may spend.
  *
- * Grants are durable before they are drawn on. The stock of an account is gathered at one instance,
- * its home, from which the others borrow what they need for a second or two: one stock for all serves
- * an outage of the store far better than as many small ones, each of which runs dry on its own, and
- * only the home calls the store. An instance that cannot reach the home goes to the store itself.
+ * Grants are durable before they are used. Tokens that are granted but neither spent nor reserved are
+ * called stock. The stock of an account is concentrated at one instance, its home, from which the others
+ * borrow what they need for a second or two. During an outage of the store, one shared stock lasts far
+ * longer than many small ones, each of which can run out on its own, and only the home calls the store.
+ * An instance that cannot reach the home calls the store itself.
  */
 export class PrepaidAccount {
   readonly #options: PrepaidAccountOptions;
-  readonly #grant: PrepaidGrant;
+  readonly #grant: StoredGrant;
   readonly #loans = new LoanBook();
   /** The limit of the newest configuration. */
   #limit: PrepaidLimit;
   #reservedTokens = 0;
   #spentTokens = 0;
-  readonly #pace: AccountPace;
-  /** What requests that wait for the store need together. */
+  readonly #usageRate: UsageRate;
+  /** Tokens needed by all requests that wait for the store. */
   #waitingTokens = 0;
-  #isMeasured = false;
-  /** Since when the store has answered, on the monotonic clock. */
-  #storeCalmSinceMs: number;
+  #isMembershipKnown = false;
+  /** Since when the store has been available, on the monotonic clock. */
+  #storeHealthySinceMs: number;
   #isSuspended = false;
-  readonly #dry = new DryBelief<ReserveOutcome>();
-  #writing: Promise<ReserveOutcome> | undefined;
-  /** The lifetime at the home that answered last. */
-  #lender = '';
-  #isFilling = false;
-  /** Questions to the home that are under way. */
-  #borrowing = 0;
+  readonly #exhaustion = new ExhaustionCache<ReserveOutcome>();
+  #pendingUpdate: Promise<ReserveOutcome> | undefined;
+  /** The key of the process run that last responded to a loan request. */
+  #lastLender = '';
+  #isRefilling = false;
+  /** The number of loan requests that are under way. */
+  #loanRequestsInFlight = 0;
 
   constructor(limit: PrepaidLimit, options: PrepaidAccountOptions) {
     this.#limit = limit;
     this.#options = options;
-    this.#grant = new PrepaidGrant(options);
+    this.#grant = new StoredGrant(options);
     const nowMs = options.clock.monotonicMs();
-    this.#pace = new AccountPace(nowMs);
-    this.#storeCalmSinceMs = nowMs;
+    this.#usageRate = new UsageRate(nowMs);
+    this.#storeHealthySinceMs = nowMs;
   }
 
-  /** Where the account's page lies. */
+  /** The key of the account's page in the store. */
   get key(): string {
     return this.#grant.key;
   }
 
-  /** Tokens that can be set aside without a call to the store or a peer. */
+  /** Tokens that can be reserved without a call to the store or a peer. */
   get stockTokens(): number {
     return this.#grant.tokens - this.#drawnTokens;
   }
 
-  /** Whether the account's stock is gathered here. */
+  /** Whether this instance is the home of the account. */
   get isHome(): boolean {
     return this.#options.peers.homeOf(this.#options.accountId) === undefined;
   }
 
-  /** Changes the limit; a lower one stops spending until the page is known to fit under it. */
+  /** Changes the limit. A lower limit suspends spending until the sum of grants is known not to exceed it. */
   setLimit(limit: PrepaidLimit): void {
     const isLower = limit.prepaidTokens < this.#limit.prepaidTokens;
     this.#limit = limit;
-    this.#dry.clear();
+    this.#exhaustion.clear();
     if (!isLower) return;
-    this.#grant.forgetPage();
+    this.#grant.invalidatePage();
     this.#isSuspended = true;
-    void this.#fitUnderLimit();
+    void this.#enforceLimit();
   }
 
   /**
-   * Sets tokens aside if they are in stock.
+   * Reserves tokens if they are in stock.
    *
    * @param tokens - the most that the request can use
-   * @returns whether they are set aside; else {@link refill} may help
+   * @returns whether they are reserved; if not, call {@link refill}
    */
   tryReserve(tokens: number): boolean {
     if (this.#isSuspended || this.stockTokens < tokens) return false;
@@ -147,184 +155,189 @@
     return true;
   }
 
-  /** Ends a reservation with what was truly used. */
+  /** Ends a reservation and counts the tokens that were actually used. */
   settle(reservedTokens: number, usedTokens: number): void {
     this.#reservedTokens -= reservedTokens;
     this.#spentTokens += usedTokens;
   }
 
   /**
-   * Gets more, from the account's home or else from the store.
+   * Acquires more tokens from the home of the account, or else from the store.
    *
-   * @param neededTokens - what a waiting request needs; 0 to fill up stock
-   * @returns why there is no more, or `reserved` when stock grew enough
+   * @param neededTokens - tokens that a waiting request needs; 0 to refill the stock
+   * @returns `reserved` if there is enough stock now, otherwise why there is not
    */
   async refill(neededTokens: number): Promise<ReserveOutcome> {
-    const known = this.#knownDry(neededTokens);
-    if (known !== undefined) return known;
+    const refusal = this.#cachedRefusal(neededTokens);
+    if (refusal !== undefined) return refusal;
     const { peers, accountId } = this.#options;
-    const borrowed = await this.#borrow(peers.homeOf(accountId), neededTokens);
-    if (borrowed === 'lent') return 'reserved';
-    // Stock that could not be had just now says nothing of what a request can get.
-    if (borrowed !== undefined && neededTokens === 0) return 'heldElsewhere';
-    if (borrowed === 'exhausted' || borrowed === 'heldElsewhere') {
+    const homeOutcome = await this.#borrow(peers.homeOf(accountId), neededTokens);
+    if (homeOutcome === 'lent') return 'reserved';
+    // That the home lends nothing for stock does not mean that it would refuse a waiting request.
+    if (homeOutcome !== undefined && neededTokens === 0) return 'heldElsewhere';
+    if (homeOutcome === 'exhausted' || homeOutcome === 'heldElsewhere') {
       const remainingTokens = Math.max(0, neededTokens - 1 - this.stockTokens);
-      return this.#dry.note(borrowed, remainingTokens, this.#nowMs);
+      return this.#exhaustion.record(homeOutcome, remainingTokens, this.#nowMs);
     }
-    const granted = await this.#refillFromStore(neededTokens);
-    if (granted !== 'storeAway' || neededTokens === 0) return granted;
-    // The store may turn away this instance alone, and the home too; others can still be granted.
-    const helped = await this.#borrow(peers.backupOf(accountId), neededTokens);
-    return helped === 'lent' ? 'reserved' : granted;
+    const storeOutcome = await this.#refillFromStore(neededTokens);
+    if (storeOutcome !== 'storeAway' || neededTokens === 0) return storeOutcome;
+    // The store may reject only this instance and the home; another peer may still get a grant.
+    const backupOutcome = await this.#borrow(peers.backupOf(accountId), neededTokens);
+    return backupOutcome === 'lent' ? 'reserved' : storeOutcome;
   }
 
-  /** Answers a peer: takes in what it gave, and lends what it asks for. */
-  async answerLoan(question: LoanQuestion): Promise<LoanAnswer> {
-    const lender = this.#ownKey;
-    if (question.givenTo === lender) this.#take(question.borrower, question.givenTokens);
+  /** Handles the request of a peer: accounts for tokens that it passed on, and lends what it needs. */
+  async handleLoanRequest(question: LoanQuestion): Promise<LoanAnswer> {
+    const lender = this.#ownRunKey;
+    if (question.givenTo === lender) this.#receiveLoan(question.borrower, question.givenTokens);
     const outcome = await this.#lend(question);
-    return { lender, lentTokens: this.#loans.lentTo(question.borrower), outcome };
+    return { lender, lentTokens: this.#loans.totalLentTo(question.borrower), outcome };
   }
 
-  /** Takes note of the page as some list showed it, which may be seconds old. */
+  /** Updates the known totals from a listed page, which may be seconds old. */
   observe(stored: StoredObject): void {
     this.#grant.observe(stored);
   }
 
-  /** Looks once a second whether to ask for more or to give back. */
+  /** Called about once per second: updates the usage rate, and refills or returns stock. */
   tick(): void {
     const nowMs = this.#nowMs;
-    this.#isMeasured = true;
-    if (this.#options.isStoreAway()) this.#storeCalmSinceMs = nowMs;
-    this.#pace.measure({
+    this.#isMembershipKnown = true;
+    if (this.#options.isStoreAway()) this.#storeHealthySinceMs = nowMs;
+    this.#usageRate.measure({
       nowMs,
       usedTokens:
         this.#spentTokens + this.#reservedTokens + Math.max(0, -this.#loans.balanceTokens),
       seenBoundTokens: this.#grant.seenBoundTokens,
-      openingTokensPerMs: openingStock(this.#situation) / homeStockMs,
+      initialTokensPerMs: initialStockTokens(this.#stockInputs) / homeStockDurationMs,
     });
-    if (this.#writing !== undefined || this.#isFilling) return;
-    if (this.#isSuspended) void this.#fitUnderLimit();
-    else if (this.#isLow()) void this.#fill();
-    else if (this.#isIdle()) void this.#giveBack(this.#keptStock());
+    if (this.#pendingUpdate !== undefined || this.#isRefilling) return;
+    if (this.#isSuspended) void this.#enforceLimit();
+    else if (this.#needsRefill()) void this.#refillStock();
+    else if (this.#hasExcessStock()) void this.#returnIdleTokens(this.#retainedStock());
   }
 
-  /** Gives back all that is not in use, before a planned end. */
+  /** Returns all idle tokens, before a planned shutdown. */
   async close(): Promise<void> {
-    while (this.#writing !== undefined) await this.#writing;
-    if (this.stockTokens > 0) await this.#giveBack(0);
+    while (this.#pendingUpdate !== undefined) await this.#pendingUpdate;
+    if (this.stockTokens > 0) await this.#returnIdleTokens(0);
   }
 
-  /** What is gone of this lifetime's own grant: spent, set aside or lent, less what was borrowed. */
+  /** Tokens of the own grant that are used: spent, reserved or lent, less borrowed ones. */
   get #drawnTokens(): number {
     return this.#spentTokens + this.#reservedTokens - this.#loans.balanceTokens;
   }
 
-  get #ownKey(): string {
+  get #ownRunKey(): string {
     return lifetimeKey(this.#options.lifetime);
   }
 
-  get #unheldSeen(): number {
+  get #ungrantedTokens(): number {
     return Math.max(0, this.#limit.prepaidTokens - this.#grant.seenGrantedTokens);
   }
 
-  get #situation() {
-    // What was used here since the page was last written, in an outage above all.
-    const untoldTokens = Math.max(0, this.#drawnTokens - this.#grant.toldTokens);
+  get #stockInputs() {
+    // Usage since the page was last written, which can be large during an outage.
+    const unreportedTokens = Math.max(0, this.#drawnTokens - this.#grant.reportedTokens);
     return {
       prepaidTokens: this.#limit.prepaidTokens,
-      seenBoundTokens: this.#grant.seenBoundTokens + untoldTokens,
-      paceTokensPerMs: this.#pace.tokensPerMs,
-      fleetPaceTokensPerMs: this.#pace.fleetTokensPerMs,
+      seenBoundTokens: this.#grant.seenBoundTokens + unreportedTokens,
+      usageTokensPerMs: this.#usageRate.tokensPerMs,
+      fleetUsageTokensPerMs: this.#usageRate.fleetTokensPerMs,
       isHome: this.isHome,
-      isMeasured: this.#isMeasured,
-      storeCalmMs: this.#nowMs - this.#storeCalmSinceMs,
+      isMembershipKnown: this.#isMembershipKnown,
+      storeHealthyMs: this.#nowMs - this.#storeHealthySinceMs,
     };
   }
 
-  #wantedStock(): number {
-    return wantedStock(this.#situation);
+  #targetStock(): number {
+    return targetStockTokens(this.#stockInputs);
   }
 
-  /** What may stay here: stock that is still there after an outage is not given back to be asked for again. */
-  #keptStock(): number {
-    return wantedStock({ ...this.#situation, storeCalmMs: Infinity });
+  /**
+   * The target without its reduction after an outage. Excess is measured against it, so that stock left
+   * after an outage is not returned only to be requested again.
+   */
+  #retainedStock(): number {
+    return targetStockTokens({ ...this.#stockInputs, storeHealthyMs: Infinity });
   }
 
-  #isLow(): boolean {
-    if (this.#dry.isHeld(this.#nowMs)) return false;
-    const wanted = this.#wantedStock();
-    if (this.stockTokens >= wanted * refillShare) return false;
-    if (wanted - this.stockTokens <= leastMoveShare * this.#limit.prepaidTokens) return false;
-    return !this.isHome || this.#unheldSeen > 0;
+  #needsRefill(): boolean {
+    if (this.#exhaustion.isActive(this.#nowMs)) return false;
+    const wanted = this.#targetStock();
+    if (this.stockTokens >= wanted * refillThresholdShare) return false;
+    if (wanted - this.stockTokens <= minMoveShare * this.#limit.prepaidTokens) return false;
+    return !this.isHome || this.#ungrantedTokens > 0;
   }
 
-  /** Guards against tokens that lie idle here while another instance refuses for want of them. */
-  #isIdle(): boolean {
-    const kept = this.#keptStock();
-    const excess = this.stockTokens - kept;
+  /** Whether to return stock, so that other instances need not refuse requests for lack of tokens. */
+  #hasExcessStock(): boolean {
+    const retained = this.#retainedStock();
+    const excess = this.stockTokens - retained;
     return (
-      this.stockTokens > returnFactor * kept && excess > leastMoveShare * this.#limit.prepaidTokens
+      this.stockTokens > returnThresholdFactor * retained &&
+      excess > minMoveShare * this.#limit.prepaidTokens
     );
   }
 
-  async #fill(): Promise<void> {
-    this.#isFilling = true;
+  async #refillStock(): Promise<void> {
+    this.#isRefilling = true;
     try {
       await this.refill(0);
     } finally {
-      this.#isFilling = false;
+      this.#isRefilling = false;
     }
   }
 
-  /** Asks a peer; undefined where there is none, or it does not answer. */
+  /** Borrows tokens from a peer; undefined if there is none or it does not respond. */
   async #borrow(
     peer: InstanceId | undefined,
     neededTokens: number,
   ): Promise<LoanOutcome | undefined> {
     if (peer === undefined) return undefined;
     const missing = Math.max(0, neededTokens - this.stockTokens);
-    // Requests that wait side by side would else each fill up the stock.
-    const wanted = this.#borrowing > 0 ? 0 : Math.max(0, this.#wantedStock() - this.stockTokens);
-    this.#borrowing += 1;
-    const answer = await this.#askPeer(peer, this.#question(missing, wanted));
-    this.#borrowing -= 1;
+    // Otherwise each of several concurrent requests would ask for a full stock.
+    const wanted =
+      this.#loanRequestsInFlight > 0 ? 0 : Math.max(0, this.#targetStock() - this.stockTokens);
+    this.#loanRequestsInFlight += 1;
+    const answer = await this.#requestLoan(peer, this.#createLoanRequest(missing, wanted));
+    this.#loanRequestsInFlight -= 1;
     if (answer === undefined) return undefined;
-    this.#lender = answer.lender;
+    this.#lastLender = answer.lender;
     return answer.outcome;
   }
 
-  /** Asks a peer and takes in what it lends; undefined where it does not answer. */
-  async #askPeer(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined> {
+  /** Asks a peer for a loan and receives it; undefined if the peer does not respond. */
+  async #requestLoan(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined> {
     const answer = await this.#options.peers.ask(peer, question);
     if (answer === undefined) return undefined;
-    const taken = this.#take(answer.lender, answer.lentTokens);
+    const taken = this.#receiveLoan(answer.lender, answer.lentTokens);
     if (taken > 0) this.#report('borrowed', taken);
     return answer;
   }
 
-  #question(neededTokens: number, wantedTokens: number): LoanQuestion {
+  #createLoanRequest(neededTokens: number, wantedTokens: number): LoanQuestion {
     return {
       accountId: this.#options.accountId,
-      borrower: this.#ownKey,
+      borrower: this.#ownRunKey,
       limitVersion: this.#limit.version,
-      givenTo: this.#lender,
-      givenTokens: this.#loans.lentTo(this.#lender),
+      givenTo: this.#lastLender,
+      givenTokens: this.#loans.totalLentTo(this.#lastLender),
       neededTokens: Math.ceil(neededTokens),
       wantedTokens: Math.ceil(wantedTokens),
     };
   }
 
-  #take(lender: string, totalTokens: number): number {
-    const taken = this.#loans.take(lender, totalTokens);
-    if (taken > 0) this.#dry.clear();
+  #receiveLoan(lender: string, totalTokens: number): number {
+    const taken = this.#loans.receive(lender, totalTokens);
+    if (taken > 0) this.#exhaustion.clear();
     return taken;
   }
 
   async #lend(question: LoanQuestion): Promise<LoanOutcome> {
     const { neededTokens, wantedTokens, limitVersion, borrower } = question;
     if (neededTokens + wantedTokens <= 0) return 'lent';
-    // A borrower that knows a newer limit must not get what was granted under the older one.
+    // Tokens that were granted under an older limit must not be lent to a borrower with a newer one.
     if (limitVersion > this.#limit.version) return 'behind';
     if (this.#isSuspended) return 'heldElsewhere';
     if (this.stockTokens < neededTokens) {
@@ -332,28 +345,28 @@
       if (outcome !== 'reserved') return outcome;
     }
     if (this.#isSuspended || this.stockTokens < neededTokens) return 'heldElsewhere';
-    // The home puts together what requests need; anybody else leaves most for the next one.
-    const share = this.#isHomeOf(borrower) ? 1 : lentShare;
-    const spare = Math.floor((this.stockTokens - neededTokens) * share);
-    const tokens = neededTokens + Math.max(0, Math.min(wantedTokens, spare));
+    // The home may borrow all spare tokens; for other borrowers most are kept for the next one.
+    const share = this.#isHomeOf(borrower) ? 1 : maxSurplusLoanShare;
+    const spareTokens = Math.floor((this.stockTokens - neededTokens) * share);
+    const tokens = neededTokens + Math.max(0, Math.min(wantedTokens, spareTokens));
     if (tokens === 0) return 'heldElsewhere';
     this.#loans.lend(borrower, tokens);
     return 'lent';
   }
 
-  /** Whether a lifetime is one of the instance where the account's stock is gathered. */
+  /** Whether a process run belongs to the home of the account. */
   #isHomeOf(lifetime: string): boolean {
-    return instanceOf(lifetime) === this.#options.peers.homeOf(this.#options.accountId);
+    return instanceIdOf(lifetime) === this.#options.peers.homeOf(this.#options.accountId);
   }
 
   /**
-   * At the home, collects what others hold where the store has no more.
+   * At the home, collects idle tokens of other instances when the store has no more.
    *
-   * Guards against tokens that lie idle with instances that were the home before, took them before
-   * they knew the others, or borrowed them: it shows as requests refused for tokens that live
-   * instances hold.
+   * Such tokens are held by instances that were the home before, that acquired them before they knew
+   * the other instances, or that borrowed them. Without this, requests would be refused although live
+   * instances hold enough tokens.
    */
-  async #collect(neededTokens: number): Promise<boolean> {
+  async #collectFromHolders(neededTokens: number): Promise<boolean> {
     const holders = rankHolders({
       page: this.#grant.page,
       loans: this.#loans.outstanding(),
@@ -362,16 +375,16 @@
     for (const holder of holders.slice(0, maxHoldersAsked)) {
       if (this.stockTokens >= neededTokens) break;
       const missing = Math.ceil(neededTokens - this.stockTokens);
-      // As stock, not as a need: a need would send the holder to the store, which has no more.
-      const answer = await this.#askPeer(holder, this.#question(0, missing));
-      // A request waits; without its links this instance is alone for the moment.
+      // Ask for stock: for a need, the holder would call the store, which has no more tokens.
+      const answer = await this.#requestLoan(holder, this.#createLoanRequest(0, missing));
+      // Stop, since a request is waiting and a missing response suggests that no peer can be reached.
       if (answer === undefined) break;
     }
     return this.stockTokens >= neededTokens && this.isHome;
   }
 
-  #knownDry(neededTokens: number): ReserveOutcome | undefined {
-    return this.#dry.outcomeFor(neededTokens - this.stockTokens, this.#nowMs);
+  #cachedRefusal(neededTokens: number): ReserveOutcome | undefined {
+    return this.#exhaustion.lookUp(neededTokens - this.stockTokens, this.#nowMs);
   }
 
   get #nowMs(): number {
@@ -379,178 +392,181 @@
   }
 
   async #refillFromStore(neededTokens: number): Promise<ReserveOutcome> {
-    // A request that only the store could help is refused at once while the store is away.
+    // While the store is unavailable, requests that need it are refused at once.
     if (this.#options.isStoreAway()) {
       return this.#isUsedUp(neededTokens) ? 'exhausted' : 'storeAway';
     }
     this.#waitingTokens += neededTokens;
     try {
-      return await this.#refillInTurn(neededTokens);
+      return await this.#refillAfterPendingUpdate(neededTokens);
     } finally {
       this.#waitingTokens -= neededTokens;
     }
   }
 
-  async #refillInTurn(neededTokens: number): Promise<ReserveOutcome> {
-    while (this.#writing !== undefined) await this.#writing;
+  async #refillAfterPendingUpdate(neededTokens: number): Promise<ReserveOutcome> {
+    while (this.#pendingUpdate !== undefined) await this.#pendingUpdate;
     if (neededTokens > 0 && !this.#isSuspended && this.stockTokens >= neededTokens)
       return 'reserved';
-    const known = this.#knownDry(neededTokens);
-    if (known !== undefined) return known;
-    const asked = await this.#alone(this.#ask(neededTokens));
-    const isHeld = asked === 'heldElsewhere' && neededTokens > 0 && this.isHome;
-    if (!isHeld || !(await this.#collect(neededTokens))) return asked;
-    this.#dry.clear();
+    const refusal = this.#cachedRefusal(neededTokens);
+    if (refusal !== undefined) return refusal;
+    const outcome = await this.#runExclusively(this.#raiseGrant(neededTokens));
+    const isHeldElsewhere = outcome === 'heldElsewhere' && neededTokens > 0 && this.isHome;
+    if (!isHeldElsewhere || !(await this.#collectFromHolders(neededTokens))) return outcome;
+    this.#exhaustion.clear();
     return 'reserved';
   }
 
-  /** Whether nothing can help, or tokens that others hold may come back. */
-  #refusal(neededTokens: number): ReserveOutcome {
+  /** Distinguishes an exhausted account from one whose tokens are held by other instances. */
+  #refusalOutcome(neededTokens: number): ReserveOutcome {
     return this.#isUsedUp(neededTokens) ? 'exhausted' : 'heldElsewhere';
   }
 
   /**
-   * Whether so much was used or is set aside that the rest does not cover a request.
+   * Whether the tokens that are neither spent nor reserved do not cover a request.
    *
-   * What was used only grows, so old knowledge of it holds; what is set aside counts at its most. It
-   * spares callers of a used up account the ways that lead to no tokens, above all while the store is
-   * away.
+   * Spent tokens only increase, so old totals remain valid; reserved tokens count in full. This avoids
+   * calls to peers and the store for a used up account, above all while the store is unavailable.
    */
   #isUsedUp(neededTokens: number): boolean {
-    const { prepaidTokens, seenBoundTokens } = this.#situation;
+    const { prepaidTokens, seenBoundTokens } = this.#stockInputs;
     return neededTokens > 0 && prepaidTokens - seenBoundTokens < neededTokens;
   }
 
-  async #ask(neededTokens: number): Promise<ReserveOutcome> {
+  async #raiseGrant(neededTokens: number): Promise<ReserveOutcome> {
     let isFresh = false;
     try {
-      for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
+      for (let attempt = 1; attempt <= maxWriteAttempts; attempt += 1) {
         if (this.#grant.page === undefined) {
           await this.#grant.read();
           isFresh = true;
         }
         const remaining = this.#limit.prepaidTokens - this.#grant.seenGrantedTokens;
         const shortage = Math.max(0, neededTokens - this.stockTokens);
-        // One write serves all requests that wait for this page.
-        const wanted = Math.max(this.#waitingTokens, this.#wantedStock());
-        const wish = Math.max(shortage, wanted - this.stockTokens);
-        const extra = Math.min(Math.ceil(wish), remaining);
-        if (this.#isSuspended || extra < shortage || extra <= 0) {
-          if (extra <= 0 && shortage === 0) return 'reserved';
+        // One write covers all requests that wait for this page.
+        const wanted = Math.max(this.#waitingTokens, this.#targetStock());
+        const desired = Math.max(shortage, wanted - this.stockTokens);
+        const increase = Math.min(Math.ceil(desired), remaining);
+        if (this.#isSuspended || increase < shortage || increase <= 0) {
+          if (increase <= 0 && shortage === 0) return 'reserved';
           if (isFresh) return this.#deny(neededTokens, remaining);
-          this.#grant.forgetPage();
+          this.#grant.invalidatePage();
           continue;
         }
-        const granted = this.#grant.storedTokens + extra;
-        if ((await this.#grant.write(granted, this.#drawnTokens)) === 'written') {
-          this.#report('granted', extra);
+        const raised = this.#grant.storedTokens + increase;
+        if ((await this.#grant.write(raised, this.#drawnTokens)) === 'written') {
+          this.#report('granted', increase);
           return 'reserved';
         }
         isFresh = true;
-        await this.#pauseAfterConflict();
+        await this.#delayAfterConflict();
       }
     } catch (thrown) {
-      return this.#failed(thrown, neededTokens);
+      return this.#handleStoreError(thrown, neededTokens);
     }
     return 'heldElsewhere';
   }
 
-  #failed(thrown: unknown, tokens: number): ReserveOutcome {
-    this.#grant.forgetPage();
+  #handleStoreError(thrown: unknown, tokens: number): ReserveOutcome {
+    this.#grant.invalidatePage();
     this.#report('unknown', tokens);
     return describeError(thrown).kind === 'storeUnavailable' ? 'storeAway' : 'heldElsewhere';
   }
 
   #deny(neededTokens: number, remainingTokens: number): ReserveOutcome {
     this.#report('denied', neededTokens);
-    return this.#dry.note(this.#refusal(neededTokens), Math.max(0, remainingTokens), this.#nowMs);
+    return this.#exhaustion.record(
+      this.#refusalOutcome(neededTokens),
+      Math.max(0, remainingTokens),
+      this.#nowMs,
+    );
   }
 
-  /** Passes idle tokens on, so that others can have them: to the home, or where it is here, to the store. */
-  async #giveBack(keptTokens: number): Promise<void> {
-    await this.#giveToHome(keptTokens);
+  /** Returns idle tokens for use by others: borrowed ones to the home, the rest to the store. */
+  async #returnIdleTokens(keptTokens: number): Promise<void> {
+    await this.#returnToHome(keptTokens);
     const idle = Math.floor(this.stockTokens - keptTokens);
-    if (idle > 0) await this.#alone(this.#lower(idle));
+    if (idle > 0) await this.#runExclusively(this.#lowerGrant(idle));
   }
 
   /**
-   * Gives the home what was borrowed and is idle.
+   * Returns idle borrowed tokens to the home.
    *
-   * Guards against a home that is gone: what is given to it is lost to the account. So it is asked
-   * first, and gets the tokens only right after it has answered.
+   * Tokens that are returned to a crashed home are lost to the account. Therefore the home is asked
+   * first, and gets the tokens only right after it has responded.
    */
-  async #giveToHome(keptTokens: number): Promise<void> {
+  async #returnToHome(keptTokens: number): Promise<void> {
     const { peers, accountId } = this.#options;
     const home = peers.homeOf(accountId);
     if (home === undefined || this.#loans.balanceTokens <= 0) return;
-    const answer = await peers.ask(home, this.#question(0, 0));
+    const answer = await peers.ask(home, this.#createLoanRequest(0, 0));
     if (answer === undefined) return;
-    this.#lender = answer.lender;
-    this.#take(answer.lender, answer.lentTokens);
+    this.#lastLender = answer.lender;
+    this.#receiveLoan(answer.lender, answer.lentTokens);
     const idle = Math.floor(this.stockTokens - keptTokens);
-    const given = Math.min(idle, this.#loans.balanceTokens);
-    if (given <= 0) return;
-    this.#loans.lend(answer.lender, given);
-    this.#report('lent', given);
-    await peers.ask(home, this.#question(0, 0));
+    const returned = Math.min(idle, this.#loans.balanceTokens);
+    if (returned <= 0) return;
+    this.#loans.lend(answer.lender, returned);
+    this.#report('lent', returned);
+    await peers.ask(home, this.#createLoanRequest(0, 0));
   }
 
-  /** Marks a change of the page as under way, so that no other one begins here. */
-  async #alone(work: Promise<ReserveOutcome>): Promise<ReserveOutcome> {
-    this.#writing = work;
+  /** Marks a change of the page as pending, so that this instance starts no other one meanwhile. */
+  async #runExclusively(work: Promise<ReserveOutcome>): Promise<ReserveOutcome> {
+    this.#pendingUpdate = work;
     try {
       return await work;
     } finally {
-      this.#writing = undefined;
+      this.#pendingUpdate = undefined;
     }
   }
 
-  async #lower(returnedTokens: number): Promise<ReserveOutcome> {
+  async #lowerGrant(returnedTokens: number): Promise<ReserveOutcome> {
     try {
-      for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
+      for (let attempt = 1; attempt <= maxWriteAttempts; attempt += 1) {
         if (this.#grant.page === undefined) await this.#grant.read();
         const idle = Math.min(returnedTokens, Math.max(0, this.stockTokens));
         const returned = Math.min(idle, this.#grant.storedTokens);
         if (returned <= 0) return 'reserved';
-        const lowered = this.#grant.bindLower(this.#grant.storedTokens - returned);
+        const lowered = this.#grant.startDecrease(this.#grant.storedTokens - returned);
         if ((await this.#grant.write(lowered, this.#drawnTokens)) === 'written') {
           this.#report('returned', returned);
           return 'reserved';
         }
-        await this.#pauseAfterConflict();
+        await this.#delayAfterConflict();
       }
     } catch (thrown) {
-      return this.#failed(thrown, returnedTokens);
+      return this.#handleStoreError(thrown, returnedTokens);
     }
     return 'heldElsewhere';
   }
 
-  /** After the limit was lowered: gives back what is idle until all grants fit under it. */
-  async #fitUnderLimit(): Promise<void> {
-    while (this.#writing !== undefined) await this.#writing;
+  /** After the limit was lowered, returns idle tokens until the sum of grants does not exceed it. */
+  async #enforceLimit(): Promise<void> {
+    while (this.#pendingUpdate !== undefined) await this.#pendingUpdate;
     if (!this.#isSuspended) return;
-    await this.#giveToHome(0);
-    await this.#alone(this.#fit());
+    await this.#returnToHome(0);
+    await this.#runExclusively(this.#shrinkToLimit());
   }
 
-  async #fit(): Promise<ReserveOutcome> {
+  async #shrinkToLimit(): Promise<ReserveOutcome> {
     try {
       await this.#grant.read();
       const { prepaidTokens } = this.#limit;
       if (this.#grant.seenGrantedTokens > prepaidTokens && this.stockTokens > 0) {
-        await this.#lower(this.stockTokens);
+        await this.#lowerGrant(this.stockTokens);
       }
       this.#isSuspended = this.#grant.seenGrantedTokens > this.#limit.prepaidTokens;
     } catch (thrown) {
-      return this.#failed(thrown, 0);
+      return this.#handleStoreError(thrown, 0);
     }
     return 'reserved';
   }
 
-  /** Spreads the losers of a race: all at once again, all but one of them would lose again. */
-  async #pauseAfterConflict(): Promise<void> {
+  /** Random delay after a conflict: if all writers retried at once, all but one would conflict again. */
+  async #delayAfterConflict(): Promise<void> {
     const { clock, random } = this.#options;
-    await clock.sleep(random() * conflictPauseMs);
+    await clock.sleep(random() * maxConflictDelayMs);
   }
 
   #report(what: GrantEvent['what'], tokens: number): void {
--- a/packages/ledger/src/PrepaidAccount/test.ts
+++ b/packages/ledger/src/PrepaidAccount/test.ts
@@ -11,7 +11,7 @@
 
 const home = 'home' as InstanceId;
 
-/** A home that lends what a request needs, and does with wishes for stock as the test says. */
+/** A home that lends what a request needs, and responds to requests for stock as configured. */
 class ScriptedHome extends PrepaidPeers {
   stockOutcome: LoanOutcome = 'lent';
   #lentTokens = 0;
@@ -35,10 +35,10 @@
   }
 }
 
-// The instance that gathers an account's stock has run out of it for a moment, and another one asks it
-// for some to keep. Nothing can be lent just then; taken for an account without tokens, that refused
-// every request of the next second, though the home lends what a request needs.
-test('a home without stock to spare is still asked for what a request needs', async (t) => {
+// The home of an account has no spare stock for a moment and declines another instance's request for
+// stock. When the other instance took this for an exhausted account, it refused all requests for the next
+// second, although the home lends what a request needs.
+test('a home without spare stock is still asked for the tokens that a request needs', async (t) => {
   const clock = new ManualClock();
   const peers = new ScriptedHome();
   const account = new PrepaidAccount(
--- a/packages/ledger/src/PrepaidAccounts/index.ts
+++ b/packages/ledger/src/PrepaidAccounts/index.ts
@@ -1,5 +1,5 @@
 import type { AccountId } from '@acaciacrank/base';
-import { prepaidPagePrefix } from '../_lib/PrepaidGrant/index.js';
+import { prepaidPagePrefix } from '../_lib/StoredGrant/index.js';
 import {
   PrepaidAccount,
   type PrepaidAccountsOptions,
@@ -8,34 +8,37 @@
 import type { LoanAnswer, LoanQuestion } from '../PrepaidPeers/index.js';
 import { lifetimeKey } from '../prepaidPage/index.js';
 
-/** Tokens set aside for one request. */
+/** Tokens reserved for one request. */
 export interface TokenReservation {
   readonly accountId: AccountId;
   readonly tokens: number;
 }
 
-/** How often stock is looked after, in milliseconds; a fraction of what stock lasts. */
-const tickMs = 1_000;
+/** The mean interval between ticks of an account, in milliseconds; a fraction of what stock lasts. */
+const tickIntervalMs = 1_000;
 /**
- * How many ticks pass between two looks at what other instances hold: their pages change by calls of
- * other homes only, which matter for the pace and where a page was dry.
+ * How many ticks pass between two observations of stored pages. A page of which this instance is the
+ * home is written by others only when they call the store themselves. Their writes matter for the usage
+ * rate of the fleet and after an account was exhausted.
  */
-const ticksToObserve = 4;
+const ticksPerObservation = 4;
 
-/** The prepaid tokens of all client accounts, as far as this instance may spend them. */
+/** The prepaid tokens of all client accounts that this instance may spend. */
 export class PrepaidAccounts implements Disposable {
   readonly #options: PrepaidAccountsOptions;
   readonly #accounts = new Map<AccountId, PrepaidAccount>();
   readonly #stop = new AbortController();
-  readonly #serving: Disposable;
+  readonly #peerHandlerRegistration: Disposable;
 
   constructor(options: PrepaidAccountsOptions) {
     this.#options = options;
-    this.#serving = options.peers.serve((question) => this.#answerLoan(question));
+    this.#peerHandlerRegistration = options.peers.serve((question) =>
+      this.#handleLoanRequest(question),
+    );
   }
 
   /**
-   * Takes over the limits of a configuration. An account that is no longer named keeps its state.
+   * Applies the limits of a configuration. An account that is no longer listed keeps its state.
    *
    * @param limits - the prepaid tokens of each account
    * @param version - the configuration's version
@@ -43,9 +46,9 @@
   setLimits(limits: ReadonlyMap<AccountId, number>, version: number): void {
     for (const [accountId, prepaidTokens] of limits) {
       const limit = { prepaidTokens, version };
-      const known = this.#accounts.get(accountId);
-      if (known !== undefined) {
-        known.setLimit(limit);
+      const existing = this.#accounts.get(accountId);
+      if (existing !== undefined) {
+        existing.setLimit(limit);
         continue;
       }
       this.#accounts.set(accountId, new PrepaidAccount(limit, { ...this.#options, accountId }));
@@ -53,16 +56,16 @@
   }
 
   /**
-   * Sets aside the most that a request can use.
+   * Reserves the most tokens that a request can use.
    *
-   * @param accountId - whose tokens
+   * @param accountId - the account of the tokens
    * @param tokens - the most that the request can use
    * @returns the outcome; `reserved` must be followed by {@link settle} exactly once
    */
   async reserve(accountId: AccountId, tokens: number): Promise<ReserveOutcome> {
     const account = this.#accounts.get(accountId);
     if (account === undefined) return 'exhausted';
-    // Between a refill and its use another request may have taken the tokens, so ask once more.
+    // Another request may take the tokens between a refill and its use, so try twice.
     for (let attempt = 0; attempt < 2; attempt += 1) {
       if (account.tryReserve(tokens)) return 'reserved';
       const outcome = await account.refill(tokens);
@@ -71,49 +74,49 @@
     return account.tryReserve(tokens) ? 'reserved' : 'heldElsewhere';
   }
 
-  /** Ends a reservation with what was truly used. */
+  /** Ends a reservation and counts the tokens that were actually used. */
   settle(reservation: TokenReservation, usedTokens: number): void {
     this.#accounts.get(reservation.accountId)?.settle(reservation.tokens, usedTokens);
   }
 
-  /** Tokens in stock here, for metrics. */
+  /** Tokens of an account in stock at this instance, for metrics. */
   stockTokens(accountId: AccountId): number {
     return this.#accounts.get(accountId)?.stockTokens ?? 0;
   }
 
-  /** Looks after stock until disposed of. */
+  /** Maintains the stock of all accounts until this object is closed or disposed of. */
   async run(): Promise<void> {
     const { clock, random } = this.#options;
-    // By the second tick it is known which instances share the accounts.
-    await clock.sleep(tickMs, this.#stop.signal);
+    // After one interval the instances that share the accounts are known.
+    await clock.sleep(tickIntervalMs, this.#stop.signal);
     for (let tick = 0; !this.#stop.signal.aborted; tick += 1) {
-      // Instances that start together would else race for every page at the same moment, for ever.
-      await clock.sleep(tickMs * (0.7 + 0.6 * random()), this.#stop.signal);
-      if (tick % ticksToObserve === 0) await this.#observe();
+      // Jitter: instances that start together would otherwise always write to the same pages at once.
+      await clock.sleep(tickIntervalMs * (0.7 + 0.6 * random()), this.#stop.signal);
+      if (tick % ticksPerObservation === 0) await this.#observePages();
       for (const account of this.#accounts.values()) account.tick();
     }
   }
 
-  /** Gives all idle stock back to the store. */
+  /** Returns all idle stock, before a planned shutdown. */
   async close(): Promise<void> {
     this.#stop.abort();
-    this.#serving[Symbol.dispose]();
+    this.#peerHandlerRegistration[Symbol.dispose]();
     await Promise.all([...this.#accounts.values()].map((account) => account.close()));
   }
 
   [Symbol.dispose](): void {
     this.#stop.abort();
-    this.#serving[Symbol.dispose]();
+    this.#peerHandlerRegistration[Symbol.dispose]();
   }
 
-  async #answerLoan(question: LoanQuestion): Promise<LoanAnswer> {
+  async #handleLoanRequest(question: LoanQuestion): Promise<LoanAnswer> {
     const account = this.#accounts.get(question.accountId);
-    if (account !== undefined) return account.answerLoan(question);
+    if (account !== undefined) return account.handleLoanRequest(question);
     return { lender: lifetimeKey(this.#options.lifetime), lentTokens: 0, outcome: 'behind' };
   }
 
-  /** Sees how much others hold; a list that may be old is enough and costs the store little. */
-  async #observe(): Promise<void> {
+  /** Updates the totals of accounts whose home is here; a stale list suffices and is cheap for the store. */
+  async #observePages(): Promise<void> {
     const accounts = [...this.#accounts.values()].filter((account) => account.isHome);
     if (accounts.length === 0) return;
     try {
@@ -125,7 +128,7 @@
         if (stored !== undefined) account.observe(stored);
       }
     } catch {
-      // The follower of the configuration tells of a store that is away; old knowledge does here.
+      // An unavailable store is reported by the configuration follower; old totals suffice here.
     }
   }
 }
--- a/packages/ledger/src/PrepaidPeers/index.ts
+++ b/packages/ledger/src/PrepaidPeers/index.ts
@@ -1,74 +1,74 @@
 import type { AccountId, InstanceId } from '@acaciacrank/base';
 
-/** What an instance asks a peer for, and what it gave that peer so far. */
+/** A request for tokens to a peer, with the total that was passed on to that peer so far. */
 export interface LoanQuestion {
   readonly accountId: AccountId;
-  /** The lifetime that asks, as `lifetimeKey` names it. */
+  /** The key of the process run that asks. */
   readonly borrower: string;
-  /** The version of the configuration whose limits the borrower goes by. */
+  /** The version of the configuration whose limits the borrower applies. */
   readonly limitVersion: number;
-  /** The lifetime of the peer that {@link givenTokens} is for; empty where none is known. */
+  /** The key of the process run of the peer to which {@link givenTokens} refers; empty if unknown. */
   readonly givenTo: string;
-  /** All tokens that the borrower ever passed on to that lifetime. */
+  /** The running total of tokens that the borrower passed on to that process run. */
   readonly givenTokens: number;
-  /** What a waiting request needs, in tokens; 0 where none waits. */
+  /** Tokens that a waiting request needs; 0 if none waits. */
   readonly neededTokens: number;
-  /** What would also be welcome as stock, in tokens. */
+  /** Additional tokens requested as stock. */
   readonly wantedTokens: number;
 }
 
-/** What came of a question for tokens. */
+/** The outcome of a request for tokens; `behind` means that the peer has an older configuration. */
 export type LoanOutcome = 'lent' | 'exhausted' | 'heldElsewhere' | 'storeAway' | 'behind';
 
-/** A peer's answer. */
+/** The response of a peer. */
 export interface LoanAnswer {
-  /** The lifetime that lends. */
+  /** The key of the process run that lends. */
   readonly lender: string;
-  /** All tokens that it ever passed on to the borrower's lifetime. */
+  /** The running total of tokens that it passed on to the borrower's process run. */
   readonly lentTokens: number;
   readonly outcome: LoanOutcome;
 }
 
-/** Answers a peer's question. */
+/** Handles the request of a peer. */
 export type LoanHandler = (question: LoanQuestion) => Promise<LoanAnswer>;
 
 /**
- * The other instances, as holders of prepaid tokens.
+ * Communication with the other instances about prepaid tokens.
  *
- * Questions and answers may be lost or come late. Both carry running totals, so that the next one
- * makes good what a lost one should have told, and none counts twice.
+ * Requests and responses may be lost or delayed. Both contain running totals, so that the next message
+ * makes up for a lost one and no tokens are counted twice.
  */
 export abstract class PrepaidPeers {
   /**
-   * Where the stock of an account is gathered.
+   * The home of an account: the instance at which its stock is concentrated.
    *
-   * @param accountId - whose stock
-   * @returns the peer; undefined where it is this instance
+   * @param accountId - the account
+   * @returns the peer; undefined if it is this instance
    */
   abstract homeOf(accountId: AccountId): InstanceId | undefined;
 
   /**
-   * The peer to ask when neither the home nor the store can help.
+   * The peer to ask when neither the home nor the store can provide tokens.
    *
-   * @param accountId - whose tokens
-   * @returns the first peer after the home; undefined where there is none
+   * @param accountId - the account
+   * @returns the first peer after the home; undefined if there is none
    */
   abstract backupOf(accountId: AccountId): InstanceId | undefined;
 
   /**
-   * Asks a peer for tokens, or tells it of tokens that it was given.
+   * Asks a peer for tokens, or informs it of tokens that were passed on to it.
    *
-   * @param peer - whom to ask
-   * @param question - what for
-   * @returns the answer; undefined where none came in time
+   * @param peer - the peer to ask
+   * @param question - the request
+   * @returns the response; undefined if none arrived in time
    */
   abstract ask(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined>;
 
   /**
-   * Answers what peers ask.
+   * Registers the handler for requests of peers.
    *
    * @param handler - must not throw
-   * @returns dispose of it to answer no more
+   * @returns a disposable that unregisters the handler
    */
   abstract serve(handler: LoanHandler): Disposable;
 }
--- a/packages/ledger/src/RequestRecords/index.ts
+++ b/packages/ledger/src/RequestRecords/index.ts
@@ -15,15 +15,15 @@
   holder: z.string(),
   bodyDigest: z.string(),
   state: z.enum(['intent', 'ran', 'notRun']),
-  /** The answer as the caller got it; kept up to a bound. */
+  /** The response sent to the caller; stored up to a size limit. */
   answer: z.unknown().optional(),
   atMs: z.number(),
 });
 
-/** What the store keeps of a request that may not be repeated. */
+/** The stored record of a request that must not be executed twice. */
 export type RequestRecord = z.infer<typeof recordSchema>;
 
-/** What {@link RequestRecords.begin} found. */
+/** The result of {@link RequestRecords.begin}. */
 export type BeginResult =
   | { readonly kind: 'begun'; readonly version: number }
   | { readonly kind: 'earlier'; readonly record: RequestRecord };
@@ -37,26 +37,26 @@
 
 /** Options of {@link RequestRecords.begin}. */
 export interface BeginOptions {
-  /** Aborted when the request is given up: an intent that stands by then is not dispatched. */
+  /** Aborted when the request is abandoned: an intent that is stored after that is not dispatched. */
   signal?: AbortSignal;
 }
 
-/** How many intents that were never dispatched are remembered. */
+/** The maximum number of intents to track that were never dispatched. */
 const maxUndispatched = 1_000;
-const firstTakeBackMs = 1_000;
-const longestTakeBackMs = 30_000;
-/** How often an intent is tried to be taken back; with the back-off about ten minutes. */
-const maxTakeBacks = 24;
+const initialRetractBackoffMs = 1_000;
+const maxRetractBackoffMs = 30_000;
+/** The maximum attempts to retract an intent; about ten minutes including the backoff. */
+const maxRetractAttempts = 24;
 
 /**
- * Records of requests that may not be repeated: an intent before dispatch, the outcome after it.
+ * Records of requests that must not be executed twice: an intent before dispatch, the outcome after it.
  *
- * The intent is created only where no record stands, so of two instances that get the same key one
- * wins, and the key is dispatched once, for ever.
+ * An intent is created only if no record exists, so if two instances get the same key only one succeeds,
+ * and a key is dispatched at most once.
  */
 export class RequestRecords {
   readonly #options: RequestRecordsOptions;
-  /** Request ids, by key, whose intent may stand although this life never dispatched them. */
+  /** Request ids by key whose intent may be stored although this process run never dispatched them. */
   readonly #undispatched = new Map<RequestKey, RequestId>();
 
   constructor(options: RequestRecordsOptions) {
@@ -64,15 +64,16 @@
   }
 
   /**
-   * Writes the intent, durably.
+   * Writes the intent durably.
    *
-   * The answer to the write can be lost after it took effect. That shows as an error; the record is
-   * then read, and it is ours when it carries our request id. Where the read fails too the intent
-   * may stand, and nobody will dispatch it: this instance remembers that, lets a retry take the
-   * intent over, and takes it back as not run once the store answers, for retries elsewhere.
+   * The response to the write can be lost after the write took effect. This shows as an error; the
+   * record is then read, and belongs to this request if it has its request id. If the read fails as
+   * well, the intent may be stored without being dispatched. This instance tracks that, lets a retry
+   * replace the intent, and marks it as not run once the store responds, for retries at other instances.
    *
-   * @throws RouterError `storeUnavailable` when it cannot be told whether the intent stands (the
-   * request was not dispatched), `keyReused`, or `internal` for a record that cannot be read
+   * @throws RouterError `storeUnavailable` if it is unknown whether the intent is stored (the request
+   * was not dispatched), `keyReused`, `deadlineExceeded` if the request was abandoned meanwhile, or
+   * `internal` for a record that does not parse
    */
   async begin(
     key: RequestKey,
@@ -81,92 +82,101 @@
     options: BeginOptions = {},
   ): Promise<BeginResult> {
     try {
-      const result = await this.#begin(key, requestId, bodyDigest);
+      const result = await this.#createIntent(key, requestId, bodyDigest);
       if (result.kind === 'earlier' || options.signal?.aborted !== true) return result;
     } catch (error) {
       if (!(error instanceof RouterError) || error.kind !== 'storeUnavailable') throw error;
-      this.#giveUp(key, requestId);
+      this.#abandonIntent(key, requestId);
       throw error;
     }
-    this.#giveUp(key, requestId);
-    throw new RouterError('deadlineExceeded', 'the request was given up before it was dispatched');
+    this.#abandonIntent(key, requestId);
+    throw new RouterError('deadlineExceeded', 'the request was abandoned before it was dispatched');
   }
 
   /**
    * Reads a record without writing an intent.
    *
-   * @throws RouterError `storeUnavailable`, or `internal` for a record that cannot be read
+   * @throws RouterError `storeUnavailable`, or `internal` for a record that does not parse
    */
   async find(key: RequestKey): Promise<RequestRecord | undefined> {
     return (await this.#read(key))?.record;
   }
 
-  async #begin(key: RequestKey, requestId: RequestId, bodyDigest: string): Promise<BeginResult> {
+  async #createIntent(
+    key: RequestKey,
+    requestId: RequestId,
+    bodyDigest: string,
+  ): Promise<BeginResult> {
     const { store } = this.#options;
-    const record = this.#record(requestId, bodyDigest, 'intent');
+    const record = this.#createRecord(requestId, bodyDigest, 'intent');
     const written = await store
       .write(recordKey(key), record, { kind: 'absent' })
       .catch(() => undefined);
     if (written?.outcome === 'written') return { kind: 'begun', version: written.version };
     const found = await this.#read(key);
     if (found === undefined) {
-      throw new RouterError('storeUnavailable', 'the intent could not be made durable');
+      throw new RouterError('storeUnavailable', 'the intent could not be stored');
     }
     if (found.record.requestId === requestId) return { kind: 'begun', version: found.version };
     if (found.record.bodyDigest !== bodyDigest) {
       throw new RouterError('keyReused', 'the idempotency key was used with another body');
     }
     const isUndispatched = this.#undispatched.get(key) === found.record.requestId;
-    const mayBegin = found.record.state === 'notRun' || isUndispatched;
-    return mayBegin
-      ? this.#beginAgain(key, record, found.version)
+    const isReplaceable = found.record.state === 'notRun' || isUndispatched;
+    return isReplaceable
+      ? this.#replaceIntent(key, record, found.version)
       : { kind: 'earlier', record: found.record };
   }
 
   /**
-   * Writes a new intent over a record that says that no upstream got the call, so that its caller may
-   * retry under the same key. The update is conditional: of two retries, one dispatches.
+   * Replaces a record of a call that no upstream received, so that its caller may retry with the same
+   * key. The write is conditional: of two concurrent retries only one dispatches.
    */
-  async #beginAgain(key: RequestKey, record: RequestRecord, version: number): Promise<BeginResult> {
+  async #replaceIntent(
+    key: RequestKey,
+    record: RequestRecord,
+    version: number,
+  ): Promise<BeginResult> {
     const { store } = this.#options;
     const written = await store
       .write(recordKey(key), record, { kind: 'version', version })
       .catch(() => undefined);
     if (written?.outcome === 'written') return { kind: 'begun', version: written.version };
     const found = await this.#read(key);
-    if (found === undefined) throw new RouterError('internal', 'a request record was removed');
+    if (found === undefined)
+      throw new RouterError('internal', 'the request record was removed during the retry');
     if (found.record.requestId === record.requestId) {
       return { kind: 'begun', version: found.version };
     }
     return { kind: 'earlier', record: found.record };
   }
 
-  #giveUp(key: RequestKey, requestId: RequestId): void {
+  #abandonIntent(key: RequestKey, requestId: RequestId): void {
     const [oldest] = this.#undispatched.keys();
     if (oldest !== undefined && this.#undispatched.size >= maxUndispatched) {
       this.#undispatched.delete(oldest);
     }
     this.#undispatched.set(key, requestId);
-    void this.#takeBack(key, requestId);
+    void this.#retractIntent(key, requestId);
   }
 
-  /** Turns an intent that was never dispatched into "not run", while nobody has taken it over. */
-  async #takeBack(key: RequestKey, requestId: RequestId): Promise<void> {
+  /** Marks an intent that was never dispatched as not run, unless another request has replaced it. */
+  async #retractIntent(key: RequestKey, requestId: RequestId): Promise<void> {
     const { store, clock } = this.#options;
-    let backOffMs = firstTakeBackMs;
-    for (let attempt = 0; attempt < maxTakeBacks; attempt += 1) {
+    let backoffMs = initialRetractBackoffMs;
+    for (let attempt = 0; attempt < maxRetractAttempts; attempt += 1) {
       try {
         const found = await this.#read(key);
         if (found?.record.requestId !== requestId || found.record.state !== 'intent') return;
-        const record = this.#record(requestId, found.record.bodyDigest, 'notRun');
+        const record = this.#createRecord(requestId, found.record.bodyDigest, 'notRun');
         const condition = { kind: 'version', version: found.version } as const;
         const result = await store.write(recordKey(key), record, condition);
         if (result.outcome === 'written') return;
       } catch (error) {
         if (!(error instanceof RouterError) || error.kind !== 'storeUnavailable') return;
       }
-      await clock.sleep(backOffMs);
-      backOffMs = Math.min(longestTakeBackMs, backOffMs * 2);
+      await clock.sleep(backoffMs);
+      backoffMs = Math.min(maxRetractBackoffMs, backoffMs * 2);
     }
   }
 
@@ -181,13 +191,17 @@
     });
   }
 
-  #record(requestId: RequestId, bodyDigest: string, state: RequestRecord['state']): RequestRecord {
+  #createRecord(
+    requestId: RequestId,
+    bodyDigest: string,
+    state: RequestRecord['state'],
+  ): RequestRecord {
     const { clock, instanceId } = this.#options;
     const atMs = clock.wallMs();
     return { format: 1, requestId, holder: instanceId, bodyDigest, state, atMs };
   }
 
-  /** Writes the outcome over the intent. */
+  /** Replaces the intent by the outcome. */
   async finish(
     key: RequestKey,
     requestId: RequestId,
@@ -195,7 +209,10 @@
     outcome: Pick<RequestRecord, 'state' | 'bodyDigest' | 'answer'>,
   ): Promise<void> {
     const { store } = this.#options;
-    const record = { ...this.#record(requestId, outcome.bodyDigest, outcome.state), ...outcome };
+    const record = {
+      ...this.#createRecord(requestId, outcome.bodyDigest, outcome.state),
+      ...outcome,
+    };
     await store.write(recordKey(key), record, { kind: 'version', version });
   }
 }
--- a/packages/ledger/src/_lib/AccountPace/index.ts
+++ b/packages/ledger/src/_lib/AccountPace/index.ts
@@ -1,21 +1,21 @@
-/** Weight of the last second in the pace: a few seconds, since single requests are large. */
-const weight = 0.25;
-/** The same where only other instances see the account's callers, who may come here any moment. */
-const idleWeight = 0.06;
+/** The weight of the newest sample; averages over a few seconds, since single requests are large. */
+const smoothingWeight = 0.25;
+/** The same if only other instances have used the account; its callers may switch here at any moment. */
+const idleSmoothingWeight = 0.06;
 
-/** What is measured at a tick. */
-export interface PaceSample {
+/** The values measured at a tick. */
+export interface UsageSample {
   readonly nowMs: number;
-  /** What is spent, set aside or out on loan here, in tokens; falls when some of it comes back. */
+  /** Tokens spent, reserved or lent by this instance; decreases when some are returned. */
   readonly usedTokens: number;
-  /** What all instances have spent or set aside, as far as they have told, in tokens. */
+  /** Tokens spent or reserved by all instances, as last reported. */
   readonly seenBoundTokens: number;
-  /** The pace to begin with, in tokens a millisecond. */
-  readonly openingTokensPerMs: number;
+  /** The initial rate, in tokens per millisecond. */
+  readonly initialTokensPerMs: number;
 }
 
-/** How fast an account's tokens are used, here and by all instances together. */
-export class AccountPace {
+/** Measures how fast the tokens of an account are used, by this instance and by the fleet. */
+export class UsageRate {
   #tokensPerMs: number | undefined;
   #fleetTokensPerMs = 0;
   #usedTokens = 0;
@@ -28,35 +28,38 @@
     this.#atMs = nowMs;
   }
 
-  /** The pace here; undefined while the account was not used anywhere. */
+  /** The rate at this instance; undefined if the account was not used anywhere yet. */
   get tokensPerMs(): number | undefined {
     return this.#tokensPerMs;
   }
 
-  /** The pace of all instances together, as far as their pages tell. */
+  /** The rate of all instances together, as last reported in the page. */
   get fleetTokensPerMs(): number {
     return this.#fleetTokensPerMs;
   }
 
   /**
-   * Takes in what was used since the last tick.
+   * Adds a sample.
    *
-   * What instances lend and give back to each other is no use, and what was used before this
-   * instance began is not a second's: counted as such, either would fill stock that a death then takes.
+   * Loans and their returns are not usage, and usage before this instance started did not happen within
+   * one tick. Counting either would increase the stock, all of which is lost in a crash.
    */
-  measure({ nowMs, usedTokens, seenBoundTokens, openingTokensPerMs }: PaceSample): void {
+  measure({ nowMs, usedTokens, seenBoundTokens, initialTokensPerMs }: UsageSample): void {
     const elapsedMs = Math.max(1, nowMs - this.#atMs);
     this.#isUsed ||= usedTokens > 0;
-    // Unused anywhere, an account keeps its opening stock; used elsewhere only, it is not wanted here.
+    // An account that was not used anywhere keeps its initial stock; one used only elsewhere needs none here.
     if (this.#isUsed || seenBoundTokens > 0) {
-      const pace = (usedTokens - this.#usedTokens) / elapsedMs;
-      const before = this.#tokensPerMs ?? openingTokensPerMs;
-      const after = before + (this.#isUsed ? weight : idleWeight) * (pace - before);
-      this.#tokensPerMs = Math.max(0, after);
+      const sampleTokensPerMs = (usedTokens - this.#usedTokens) / elapsedMs;
+      const previousTokensPerMs = this.#tokensPerMs ?? initialTokensPerMs;
+      const smoothedTokensPerMs =
+        previousTokensPerMs +
+        (this.#isUsed ? smoothingWeight : idleSmoothingWeight) *
+          (sampleTokensPerMs - previousTokensPerMs);
+      this.#tokensPerMs = Math.max(0, smoothedTokensPerMs);
     }
-    const toldBefore = this.#boundTokens ?? seenBoundTokens;
-    const fleetPace = Math.max(0, seenBoundTokens - toldBefore) / elapsedMs;
-    this.#fleetTokensPerMs += weight * (fleetPace - this.#fleetTokensPerMs);
+    const previousBoundTokens = this.#boundTokens ?? seenBoundTokens;
+    const fleetSampleTokensPerMs = Math.max(0, seenBoundTokens - previousBoundTokens) / elapsedMs;
+    this.#fleetTokensPerMs += smoothingWeight * (fleetSampleTokensPerMs - this.#fleetTokensPerMs);
     this.#usedTokens = usedTokens;
     this.#boundTokens = seenBoundTokens;
     this.#atMs = nowMs;
--- a/packages/ledger/src/_lib/DemandMeter/index.ts
+++ b/packages/ledger/src/_lib/DemandMeter/index.ts
@@ -1,51 +1,52 @@
 import { millisecondsInMinute, type Clock } from '@acaciacrank/base';
 
-interface Reading {
-  /** What was drawn, older draws faded out. */
+interface DemandReading {
+  /** The sum of reserved tokens, exponentially decayed by age, as of `atMs`. */
   readonly tokens: number;
   readonly atMs: number;
-  readonly firstMs: number;
+  readonly firstAtMs: number;
 }
 
-/** How fast older draws fade out, in milliseconds. */
-const fadeMs = 5 * millisecondsInMinute;
-/** A first draw counts as if it took this long, in milliseconds. */
-const shortestSpanMs = millisecondsInMinute;
+/** The time constant of the exponential decay, in milliseconds. */
+const decayTimeMs = 5 * millisecondsInMinute;
+/** The minimum time span over which the rate is calculated, in milliseconds. */
+const minSpanMs = millisecondsInMinute;
 
-/** How much is drawn in a minute, by key, from about the last five minutes. */
+/** Measures tokens per minute for each key, averaged over about the last five minutes. */
 export class DemandMeter {
   readonly #clock: Clock;
-  readonly #readings = new Map<string, Reading>();
+  readonly #readings = new Map<string, DemandReading>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Counts a draw. */
+  /** Adds tokens to the demand of a key. */
   add(key: string, tokens: number): void {
     const atMs = this.#clock.monotonicMs();
     const reading = this.#readings.get(key);
-    const fadedTokens = reading === undefined ? 0 : faded(reading, atMs);
-    const firstMs = reading?.firstMs ?? atMs;
-    this.#readings.set(key, { tokens: fadedTokens + tokens, atMs, firstMs });
+    const earlierTokens = reading === undefined ? 0 : decayedTokens(reading, atMs);
+    const firstAtMs = reading?.firstAtMs ?? atMs;
+    this.#readings.set(key, { tokens: earlierTokens + tokens, atMs, firstAtMs });
   }
 
-  /** What is drawn in a minute, in tokens. */
+  /** The demand in tokens per minute. */
   tokensPerMinute(key: string): number {
     const reading = this.#readings.get(key);
     if (reading === undefined) return 0;
     const nowMs = this.#clock.monotonicMs();
-    // A meter that has run for less than its fading time has seen only a part of it.
-    const seenShare = 1 - Math.exp(-Math.max(shortestSpanMs, nowMs - reading.firstMs) / fadeMs);
-    return (faded(reading, nowMs) * millisecondsInMinute) / (fadeMs * seenShare);
+    // A key that was measured for less than the decay time has only a part of the weight of a full window.
+    const coveredShare =
+      1 - Math.exp(-Math.max(minSpanMs, nowMs - reading.firstAtMs) / decayTimeMs);
+    return (decayedTokens(reading, nowMs) * millisecondsInMinute) / (decayTimeMs * coveredShare);
   }
 
-  /** Forgets a key, so that memory follows the budgets in use. */
-  forget(key: string): void {
+  /** Removes a key, so that memory is used only for active budgets. */
+  remove(key: string): void {
     this.#readings.delete(key);
   }
 }
 
-function faded(reading: Reading, nowMs: number): number {
-  return reading.tokens * Math.exp(-(nowMs - reading.atMs) / fadeMs);
+function decayedTokens(reading: DemandReading, nowMs: number): number {
+  return reading.tokens * Math.exp(-(nowMs - reading.atMs) / decayTimeMs);
 }
--- a/packages/ledger/src/_lib/DryBelief/index.ts
+++ b/packages/ledger/src/_lib/DryBelief/index.ts
@@ -1,48 +1,47 @@
-/** How long a page that was read to be dry is believed, in milliseconds. */
-const dryMs = 1_000;
+/** How long an entry is valid, in milliseconds. */
+const entryLifetimeMs = 1_000;
 
-/** What is believed of an account of which no more tokens are to be had. */
-interface Dryness<Outcome> {
-  readonly untilMs: number;
-  /** What could still be had, in tokens. */
+/** The cached result of a failed attempt to acquire tokens. */
+interface ExhaustionEntry<Outcome> {
+  readonly expiresAtMs: number;
+  /** Tokens that can still be acquired. */
   readonly remainingTokens: number;
   readonly outcome: Outcome;
 }
 
 /**
- * Remembers for a while that an account has no more tokens.
- *
- * Guards against a call to the store for each request of an account that is used up.
+ * Caches for a short time that an account has no more tokens, so that requests of an exhausted account
+ * do not each call the store.
  */
-export class DryBelief<Outcome> {
-  #dry: Dryness<Outcome> | undefined;
+export class ExhaustionCache<Outcome> {
+  #entry: ExhaustionEntry<Outcome> | undefined;
 
-  /** Takes note that no more than so many tokens are to be had; returns the outcome. */
-  note(outcome: Outcome, remainingTokens: number, nowMs: number): Outcome {
-    this.#dry = { untilMs: nowMs + dryMs, remainingTokens, outcome };
+  /** Records that at most `remainingTokens` can be acquired; returns the outcome. */
+  record(outcome: Outcome, remainingTokens: number, nowMs: number): Outcome {
+    this.#entry = { expiresAtMs: nowMs + entryLifetimeMs, remainingTokens, outcome };
     return outcome;
   }
 
-  /** Forgets it, since there may be more again. */
+  /** Removes the entry, since more tokens may be available again. */
   clear(): void {
-    this.#dry = undefined;
+    this.#entry = undefined;
   }
 
-  /** Whether it is believed now. */
-  isHeld(nowMs: number): boolean {
-    return this.#dry !== undefined && this.#dry.untilMs > nowMs;
+  /** Whether there is an entry that is still valid. */
+  isActive(nowMs: number): boolean {
+    return this.#entry !== undefined && this.#entry.expiresAtMs > nowMs;
   }
 
   /**
-   * What a request for tokens comes to, as far as that is known.
+   * The known outcome of a request for tokens.
    *
-   * @param neededTokens - what it needs beyond the stock
-   * @param nowMs - on the monotonic clock
-   * @returns the outcome; undefined where it has to be tried
+   * @param neededTokens - tokens needed in addition to the stock
+   * @param nowMs - the current time, on the monotonic clock
+   * @returns the outcome; undefined if the request has to be tried
    */
-  outcomeFor(neededTokens: number, nowMs: number): Outcome | undefined {
-    const dry = this.#dry;
-    if (dry === undefined || !this.isHeld(nowMs)) return undefined;
-    return dry.remainingTokens >= neededTokens ? undefined : dry.outcome;
+  lookUp(neededTokens: number, nowMs: number): Outcome | undefined {
+    const entry = this.#entry;
+    if (entry === undefined || !this.isActive(nowMs)) return undefined;
+    return entry.remainingTokens >= neededTokens ? undefined : entry.outcome;
   }
 }
--- a/packages/ledger/src/_lib/DryBelief/test.ts
+++ b/packages/ledger/src/_lib/DryBelief/test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
-import { DryBelief } from './index.js';
+import { ExhaustionCache } from './index.js';
 
-test('what is known to be dry is believed for a second, for requests that need more than is left', (t) => {
-  const belief = new DryBelief<'exhausted'>();
-  t.is(belief.outcomeFor(100, 0), undefined);
-  t.is(belief.note('exhausted', 50, 1_000), 'exhausted');
-  t.is(belief.outcomeFor(51, 1_999), 'exhausted');
-  t.is(belief.outcomeFor(50, 1_999), undefined);
-  t.true(belief.isHeld(1_999));
-  t.is(belief.outcomeFor(51, 2_000), undefined);
-  t.false(belief.isHeld(2_000));
+test('an entry applies for one second to requests that need more than the remaining tokens', (t) => {
+  const cache = new ExhaustionCache<'exhausted'>();
+  t.is(cache.lookUp(100, 0), undefined);
+  t.is(cache.record('exhausted', 50, 1_000), 'exhausted');
+  t.is(cache.lookUp(51, 1_999), 'exhausted');
+  t.is(cache.lookUp(50, 1_999), undefined);
+  t.true(cache.isActive(1_999));
+  t.is(cache.lookUp(51, 2_000), undefined);
+  t.false(cache.isActive(2_000));
 });
 
-test('it is forgotten when there may be more again', (t) => {
-  const belief = new DryBelief<'exhausted'>();
-  belief.note('exhausted', 0, 0);
-  belief.clear();
-  t.is(belief.outcomeFor(1, 1), undefined);
+test('a cleared entry no longer applies', (t) => {
+  const cache = new ExhaustionCache<'exhausted'>();
+  cache.record('exhausted', 0, 0);
+  cache.clear();
+  t.is(cache.lookUp(1, 1), undefined);
 });
--- a/packages/ledger/src/_lib/HeldGrants/index.ts
+++ b/packages/ledger/src/_lib/HeldGrants/index.ts
@@ -8,14 +8,14 @@
   ReturnOperation,
 } from '../../types.js';
 
-/** A grant to hold, as the page or a peer gave it. */
+/** A grant to hold, from a page or a peer. */
 export interface NewHeldGrant {
   readonly grantId: GrantId;
   readonly budget: BudgetRef;
   readonly tokens: number;
-  /** By the monotonic clock: a wall clock set back must not prolong a grant. */
+  /** On the monotonic clock: setting the wall clock back must not extend a grant. */
   readonly spendableUntilMs: number;
-  /** Whether the grant is a peer's, of which this instance holds a part. */
+  /** Whether the tokens are a part of a grant of a peer. */
   readonly isTransferred: boolean;
 }
 
@@ -23,14 +23,14 @@
   spendableUntilMs: number;
   availableTokens: number;
   reservedTokens: number;
-  /** Whether a peer may hold a part of it. */
+  /** Whether a peer may hold a part of this grant. */
   hasTransfers: boolean;
 }
 
-/** Tokens are not passed on that could not be used before their grant ends. */
-const shortestTransferMs = 5_000;
+/** Tokens of a grant that expires sooner are not transferred, since they could not be used in time. */
+const minTransferRemainingMs = 5_000;
 
-/** The grants that one instance holds, and what it has reserved from them. */
+/** The grants held by one instance, and the tokens reserved from them. */
 export class HeldGrants {
   readonly #clock: Clock;
   readonly #returnedBy: string;
@@ -38,27 +38,27 @@
   #returnCount = 0;
 
   /**
-   * @param clock - measures the ends of grants
-   * @param returnedBy - names this life of the instance in returns
+   * @param clock - measures the expiry of grants
+   * @param returnedBy - identifies this process run in returns
    */
   constructor(clock: Clock, returnedBy: string) {
     this.#clock = clock;
     this.#returnedBy = returnedBy;
   }
 
-  /** The budgets of which something is held. */
+  /** The budgets with at least one grant. */
   budgets(): BudgetRef[] {
     return [...this.#grants.values()].flatMap(([first]) =>
       first === undefined ? [] : [first.budget],
     );
   }
 
-  /** How many grants are held, over all budgets. */
+  /** The number of grants of all budgets. */
   get size(): number {
     return [...this.#grants.values()].reduce((sum, grants) => sum + grants.length, 0);
   }
 
-  /** Holds a grant; a part of a grant that is held already joins it. */
+  /** Adds a grant, or a further part of a grant that is already held. */
   add(grant: NewHeldGrant): void {
     const held = this.#find(grant.budget, grant.grantId);
     if (held !== undefined) {
@@ -72,107 +72,107 @@
       hasTransfers: false,
     };
     const { budgetId } = grant.budget;
-    // Those that end first are spent first.
-    const byEnd = [...this.#of(budgetId), added].sort(
+    // Grants that expire first are spent first.
+    const byExpiry = [...this.#grantsOf(budgetId), added].sort(
       (a, b) => a.spendableUntilMs - b.spendableUntilMs,
     );
-    this.#grants.set(budgetId, byEnd);
+    this.#grants.set(budgetId, byExpiry);
   }
 
   /** Tokens that could be reserved now. */
   availableTokens(budget: BudgetRef): number {
-    return this.#live(budget).reduce((sum, grant) => sum + grant.availableTokens, 0);
+    return this.#liveGrants(budget).reduce((sum, grant) => sum + grant.availableTokens, 0);
   }
 
-  /** Reserves tokens, of several grants where one has too few; undefined when all have too few. */
+  /** Reserves tokens from one or more grants; undefined if all together have too few. */
   reserve(budget: BudgetRef, tokens: number): GrantPart[] | undefined {
     if (this.availableTokens(budget) < tokens) return undefined;
     const parts: GrantPart[] = [];
-    let leftTokens = tokens;
-    for (const grant of this.#live(budget)) {
-      const taken = Math.min(leftTokens, grant.availableTokens);
-      if (taken === 0) continue;
-      grant.availableTokens -= taken;
-      grant.reservedTokens += taken;
-      leftTokens -= taken;
-      parts.push({ grantId: grant.grantId, tokens: taken });
+    let missingTokens = tokens;
+    for (const grant of this.#liveGrants(budget)) {
+      const takenTokens = Math.min(missingTokens, grant.availableTokens);
+      if (takenTokens === 0) continue;
+      grant.availableTokens -= takenTokens;
+      grant.reservedTokens += takenTokens;
+      missingTokens -= takenTokens;
+      parts.push({ grantId: grant.grantId, tokens: takenTokens });
     }
     return parts;
   }
 
   /** Makes reserved tokens available again. */
   release(budget: BudgetRef, parts: readonly GrantPart[]): void {
-    for (const { grant, tokens } of this.#match(budget, parts)) {
+    for (const { grant, tokens } of this.#findAll(budget, parts)) {
       grant.reservedTokens -= tokens;
       grant.availableTokens += tokens;
     }
   }
 
-  /** Reserved tokens were billed and are gone. */
+  /** Removes reserved tokens that were billed. */
   spend(budget: BudgetRef, parts: readonly GrantPart[]): void {
-    for (const { grant, tokens } of this.#match(budget, parts)) grant.reservedTokens -= tokens;
+    for (const { grant, tokens } of this.#findAll(budget, parts)) grant.reservedTokens -= tokens;
   }
 
-  /** Whether every part may still be spent, by the monotonic clock. */
+  /** Whether the grants of all parts are held and have not expired by the monotonic clock. */
   areSpendable(budget: BudgetRef, parts: readonly GrantPart[]): boolean {
-    const matched = this.#match(budget, parts);
+    const matched = this.#findAll(budget, parts);
     return matched.length === parts.length && matched.every(({ grant }) => this.#isLive(grant));
   }
 
-  /** Stops using all idle tokens of a budget, and says how to give them back. */
+  /** Removes all idle tokens of a budget; returns the operations that return them to the page. */
   takeIdle(budget: BudgetRef): (CloseOperation | ReturnOperation)[] {
-    return this.#of(budget.budgetId).flatMap((grant) => this.#takeIdleOf(grant));
+    return this.#grantsOf(budget.budgetId).flatMap((grant) => this.#takeIdleOf(grant));
   }
 
-  /** Stops using grants of which nothing is left, and those that have ended. */
+  /** Like {@link takeIdle}, but only for grants that have expired or have no available tokens. */
   takeSpent(budget: BudgetRef): (CloseOperation | ReturnOperation)[] {
-    return this.#of(budget.budgetId)
+    return this.#grantsOf(budget.budgetId)
       .filter((grant) => !this.#isLive(grant) || grant.availableTokens === 0)
       .flatMap((grant) => this.#takeIdleOf(grant));
   }
 
-  /** Passes idle tokens on to a peer. */
+  /** Removes idle tokens that are transferred to a peer. */
   handOver(budget: BudgetRef, tokens: number): TransferredTokens[] {
-    let leftTokens = tokens;
+    let missingTokens = tokens;
     const nowMs = this.#clock.monotonicMs();
     const transfers: TransferredTokens[] = [];
-    for (const grant of this.#live(budget)) {
+    for (const grant of this.#liveGrants(budget)) {
       const remainingMs = grant.spendableUntilMs - nowMs;
-      const passed = Math.min(leftTokens, grant.availableTokens);
-      if (passed === 0 || remainingMs < shortestTransferMs) continue;
-      grant.availableTokens -= passed;
+      const transferredTokens = Math.min(missingTokens, grant.availableTokens);
+      if (transferredTokens === 0 || remainingMs < minTransferRemainingMs) continue;
+      grant.availableTokens -= transferredTokens;
       grant.hasTransfers = true;
-      leftTokens -= passed;
-      transfers.push({ grantId: grant.grantId, tokens: passed, remainingMs });
+      missingTokens -= transferredTokens;
+      transfers.push({ grantId: grant.grantId, tokens: transferredTokens, remainingMs });
     }
     return transfers;
   }
 
   /**
-   * Prolongations of own grants that end soon. Where a peer may hold a part the end stays as it is:
-   * a peer that died with its part would strand it for as long as the grant is prolonged.
+   * Operations that renew own grants that expire soon. A grant of which a peer may hold a part is not
+   * renewed: if the peer has crashed, its part stays unavailable for as long as the grant is renewed.
    */
   renewals(budget: BudgetRef, withinMs: number, expiresAtMs: number): RenewOperation[] {
     const nowMs = this.#clock.monotonicMs();
-    return this.#live(budget)
+    return this.#liveGrants(budget)
       .filter((grant) => !grant.isTransferred && !grant.hasTransfers)
       .filter((grant) => grant.spendableUntilMs - nowMs < withinMs)
       .map(({ grantId }) => ({ kind: 'renew', budget, grantId, expiresAtMs }));
   }
 
-  /** A grant ends at another time; zero for one that is gone. */
-  setEnd(budget: BudgetRef, grantId: GrantId, spendableUntilMs: number): void {
+  /** Changes the expiry of a grant; 0 for a grant that is no longer in the page. */
+  setExpiry(budget: BudgetRef, grantId: GrantId, spendableUntilMs: number): void {
     const grant = this.#find(budget, grantId);
     if (grant !== undefined) grant.spendableUntilMs = spendableUntilMs;
   }
 
   #takeIdleOf(grant: HeldGrant): (CloseOperation | ReturnOperation)[] {
     const { budget, grantId, reservedTokens, availableTokens: tokens } = grant;
-    const isOwnAlone = !grant.isTransferred && !grant.hasTransfers;
-    if (reservedTokens === 0 && (isOwnAlone || !this.#isLive(grant) || grant.isTransferred)) {
+    const isEntirelyOwn = !grant.isTransferred && !grant.hasTransfers;
+    if (reservedTokens === 0 && (isEntirelyOwn || !this.#isLive(grant) || grant.isTransferred)) {
       this.#remove(grant);
     }
-    if (reservedTokens === 0 && isOwnAlone) return [{ kind: 'close', budget, grantId }];
+    if (reservedTokens === 0 && isEntirelyOwn) return [{ kind: 'close', budget, grantId }];
     if (tokens === 0) return [];
     grant.availableTokens = 0;
     this.#returnCount += 1;
@@ -184,12 +184,12 @@
 
   #remove(grant: HeldGrant): void {
     const { budgetId } = grant.budget;
-    const rest = this.#of(budgetId).filter((other) => other !== grant);
+    const rest = this.#grantsOf(budgetId).filter((other) => other !== grant);
     if (rest.length > 0) this.#grants.set(budgetId, rest);
     else this.#grants.delete(budgetId);
   }
 
-  #match(budget: BudgetRef, parts: readonly GrantPart[]): { grant: HeldGrant; tokens: number }[] {
+  #findAll(budget: BudgetRef, parts: readonly GrantPart[]): { grant: HeldGrant; tokens: number }[] {
     return parts.flatMap(({ grantId, tokens }) => {
       const grant = this.#find(budget, grantId);
       return grant === undefined ? [] : [{ grant, tokens }];
@@ -197,14 +197,14 @@
   }
 
   #find(budget: BudgetRef, grantId: GrantId): HeldGrant | undefined {
-    return this.#of(budget.budgetId).find((grant) => grant.grantId === grantId);
+    return this.#grantsOf(budget.budgetId).find((grant) => grant.grantId === grantId);
   }
 
-  #live(budget: BudgetRef): HeldGrant[] {
-    return this.#of(budget.budgetId).filter((grant) => this.#isLive(grant));
+  #liveGrants(budget: BudgetRef): HeldGrant[] {
+    return this.#grantsOf(budget.budgetId).filter((grant) => this.#isLive(grant));
   }
 
-  #of(budgetId: string): readonly HeldGrant[] {
+  #grantsOf(budgetId: string): readonly HeldGrant[] {
     return this.#grants.get(budgetId) ?? [];
   }
 
--- a/packages/ledger/src/_lib/HeldGrants/test.ts
+++ b/packages/ledger/src/_lib/HeldGrants/test.ts
@@ -15,7 +15,7 @@
   return { clock, held };
 }
 
-test('a reservation draws on several grants, those that end first before others', (t) => {
+test('a reservation takes tokens from several grants, in order of expiry', (t) => {
   const { held } = hold(30, 50);
   t.deepEqual(held.reserve(budget, 40), [
     { grantId: 'g1', tokens: 30 },
@@ -25,9 +25,9 @@
   t.is(held.availableTokens(budget), 40);
 });
 
-// A process is frozen past its grant's end and wakes with a reservation in hand. Its tokens may be
-// with somebody else by now, so it must see that by the monotonic clock.
-test('a reservation ends with its grant', async (t) => {
+// A process is paused past the expiry of its grant and resumes with a reservation. Its tokens may have been
+// granted to another instance, so it must detect the expiry by the monotonic clock.
+test('a reservation expires with its grant', async (t) => {
   const { clock, held } = hold(30);
   const parts = held.reserve(budget, 30) ?? [];
   t.true(held.areSpendable(budget, parts));
@@ -36,9 +36,9 @@
   t.is(held.availableTokens(budget), 0);
 });
 
-// An instance gives tokens of its grant to a peer, then goes idle. Closing the whole grant would
-// return the peer's part to the budget while the peer spends it.
-test('a grant of which a peer holds a part is never closed, only its own part returned', (t) => {
+// An instance transfers tokens of its grant to a peer and becomes idle. Closing the whole grant would return
+// the peer's part to the budget while the peer spends it.
+test('a grant that is partly held by a peer is not closed; only the own part is returned', (t) => {
   const { held } = hold(30);
   t.deepEqual(held.handOver(budget, 20), [{ grantId: 'g1', tokens: 20, remainingMs: 10_000 }]);
   const returns = held.takeIdle(budget);
@@ -47,7 +47,7 @@
   t.deepEqual(held.renewals(budget, Infinity, 1), []);
 });
 
-test('an idle grant is closed and a busy one gives back what is idle', (t) => {
+test('an idle grant is closed; of a grant in use only the idle tokens are returned', (t) => {
   const { held } = hold(30, 50);
   const parts = held.reserve(budget, 35) ?? [];
   t.like(held.takeIdle(budget), { length: 1, 0: { kind: 'return', grantId: 'g2', tokens: 45 } });
--- a/packages/ledger/src/_lib/LoanBook/index.ts
+++ b/packages/ledger/src/_lib/LoanBook/index.ts
@@ -1,52 +1,52 @@
 /**
- * What one lifetime of an instance has passed on to others of an account's tokens, and got from them.
+ * Running totals of the tokens of an account that one process run lent to others and received from them.
  *
- * Guards against lost and repeated messages: each pair of lifetimes counts one running total, which
- * only rises. A lender raises it before it tells, a borrower takes the rise over what it knew. So at
- * every moment the borrower has at most what the lender has given away, and both together spend at
- * most what the store granted them.
+ * The totals make loans safe against lost and repeated messages. There is one for each direction between
+ * two process runs, and it never decreases. A lender increases it before it sends it; a borrower adds the
+ * difference to the total that it knew. At any time the borrower has received at most what the lender has
+ * given away, and both together spend at most what the store granted them.
  */
 export class LoanBook {
-  readonly #lent = new Map<string, number>();
-  readonly #taken = new Map<string, number>();
+  readonly #lentTotals = new Map<string, number>();
+  readonly #receivedTotals = new Map<string, number>();
   #balanceTokens = 0;
 
-  /** Tokens that others gave, less those that were given away. */
+  /** Tokens received minus tokens lent. */
   get balanceTokens(): number {
     return this.#balanceTokens;
   }
 
-  /** Everything that was ever given to a lifetime. */
-  lentTo(borrower: string): number {
-    return this.#lent.get(borrower) ?? 0;
+  /** The running total lent to a process run. */
+  totalLentTo(borrower: string): number {
+    return this.#lentTotals.get(borrower) ?? 0;
   }
 
-  /** What each lifetime was given and has not given back, where that is more than nothing. */
+  /** The process runs that have not returned all tokens lent to them, with the outstanding tokens. */
   *outstanding(): Iterable<readonly [string, number]> {
-    for (const [borrower, lent] of this.#lent) {
-      const tokens = lent - (this.#taken.get(borrower) ?? 0);
+    for (const [borrower, lent] of this.#lentTotals) {
+      const tokens = lent - (this.#receivedTotals.get(borrower) ?? 0);
       if (tokens > 0) yield [borrower, tokens];
     }
   }
 
-  /** Gives tokens away; they are no longer to be spent here when this returns. */
+  /** Lends tokens; this process run must not spend them afterwards. */
   lend(borrower: string, tokens: number): void {
-    this.#lent.set(borrower, this.lentTo(borrower) + tokens);
+    this.#lentTotals.set(borrower, this.totalLentTo(borrower) + tokens);
     this.#balanceTokens -= tokens;
   }
 
   /**
-   * Takes in what a lifetime says that it gave in all.
+   * Applies the running total that a lender reports.
    *
-   * @param lender - who gave
+   * @param lender - the process run that lent the tokens
    * @param totalTokens - its running total
-   * @returns the tokens that are new
+   * @returns the newly received tokens
    */
-  take(lender: string, totalTokens: number): number {
-    const known = this.#taken.get(lender) ?? 0;
-    if (totalTokens <= known) return 0;
-    this.#taken.set(lender, totalTokens);
-    this.#balanceTokens += totalTokens - known;
-    return totalTokens - known;
+  receive(lender: string, totalTokens: number): number {
+    const knownTotal = this.#receivedTotals.get(lender) ?? 0;
+    if (totalTokens <= knownTotal) return 0;
+    this.#receivedTotals.set(lender, totalTokens);
+    this.#balanceTokens += totalTokens - knownTotal;
+    return totalTokens - knownTotal;
   }
 }
--- a/packages/ledger/src/_lib/OpenRequests/index.ts
+++ b/packages/ledger/src/_lib/OpenRequests/index.ts
@@ -7,15 +7,15 @@
 }
 
 /**
- * Counts requests that are reserved or wait to be billed.
+ * Counts requests that are reserved or wait to be billed, and limits their number.
  *
- * Guards against a store that is down for minutes: each request that ends then leaves a bill that
- * waits, and without a bound memory would grow until the process dies with all of them.
+ * While the store is unavailable, each request that ends leaves a pending bill. Without a limit, an outage
+ * of minutes would use up the memory, and a crash of the process would lose all pending bills.
  */
 export class OpenRequests {
   readonly #options: OpenRequestsOptions;
-  readonly #perPage = new Map<string, number>();
-  readonly #ended = new WeakSet();
+  readonly #countByPage = new Map<string, number>();
+  readonly #closedRequests = new WeakSet();
   #total = 0;
 
   constructor(options: OpenRequestsOptions) {
@@ -23,28 +23,29 @@
   }
 
   /**
-   * Refuses one more where the bound is reached.
+   * Checks that another request may be opened.
    *
-   * @throws RouterError `overloaded`
+   * @throws RouterError `overloaded` if a limit is reached
    */
-  refuseBeyond(pageKey: string): void {
+  checkLimit(pageKey: string): void {
     const { maxOpenPerPage, maxOpen } = this.#options;
-    const isFull = (this.#perPage.get(pageKey) ?? 0) >= maxOpenPerPage || this.#total >= maxOpen;
+    const isFull =
+      (this.#countByPage.get(pageKey) ?? 0) >= maxOpenPerPage || this.#total >= maxOpen;
     if (isFull) throw new RouterError('overloaded', 'too many requests wait to be billed');
   }
 
   add(pageKey: string): void {
-    this.#perPage.set(pageKey, (this.#perPage.get(pageKey) ?? 0) + 1);
+    this.#countByPage.set(pageKey, (this.#countByPage.get(pageKey) ?? 0) + 1);
     this.#total += 1;
   }
 
-  /** Counts a request out, once; says whether it was still open. */
+  /** Removes a request once; returns whether it was still open. */
   remove(pageKey: string, request: object): boolean {
-    if (this.#ended.has(request)) return false;
-    this.#ended.add(request);
-    const left = (this.#perPage.get(pageKey) ?? 0) - 1;
-    if (left > 0) this.#perPage.set(pageKey, left);
-    else this.#perPage.delete(pageKey);
+    if (this.#closedRequests.has(request)) return false;
+    this.#closedRequests.add(request);
+    const remaining = (this.#countByPage.get(pageKey) ?? 0) - 1;
+    if (remaining > 0) this.#countByPage.set(pageKey, remaining);
+    else this.#countByPage.delete(pageKey);
     this.#total -= 1;
     return true;
   }
--- a/packages/ledger/src/_lib/UnconfirmedReturns/index.ts
+++ b/packages/ledger/src/_lib/UnconfirmedReturns/index.ts
@@ -1,18 +1,18 @@
 import type { CloseOperation, PageOperation, ReturnOperation } from '../../types.js';
 
-/** How many are kept for one page; those beyond strand their tokens until the grant ends. */
+/** The maximum number per page; the tokens of further returns stay unavailable until the grant expires. */
 const maxPerPage = 1_000;
 
 /**
- * Returns whose write had no answer, to be written again with the next change of their page.
+ * Returns whose write was not confirmed; they are submitted again with the next change of their page.
  *
- * A grant whose write had no answer may stand in the page without anybody who spends it: it is
- * closed, which does nothing where it does not stand.
+ * A grant whose write was not confirmed may exist in the page although nobody spends it. It is closed,
+ * which has no effect if it does not exist.
  */
 export class UnconfirmedReturns {
   readonly #byPage = new Map<string, (CloseOperation | ReturnOperation)[]>();
 
-  /** Keeps what is to be written again of operations that failed. */
+  /** Adds the operations to submit again after a failed write. */
   add(pageKey: string, failed: readonly PageOperation[]): void {
     const returns = failed.flatMap(toReturn);
     if (returns.length === 0) return;
@@ -20,7 +20,7 @@
     this.#byPage.set(pageKey, kept);
   }
 
-  /** Takes out what is to be written again. */
+  /** Removes and returns the operations to submit again. */
   take(pageKey: string): readonly (CloseOperation | ReturnOperation)[] {
     const returns = this.#byPage.get(pageKey) ?? [];
     this.#byPage.delete(pageKey);
--- a/packages/ledger/src/_lib/prepaidStock/index.ts
+++ b/packages/ledger/src/_lib/prepaidStock/index.ts
@@ -1,90 +1,95 @@
 /**
- * How many tokens of an account an instance should have in stock.
+ * Target size of the stock: the tokens of an account that an instance holds in advance.
  */
 
-/** What decides about stock. */
-export interface StockSituation {
-  /** The account's limit. */
+/** The values that determine the target stock. */
+export interface StockInputs {
+  /** The limit of the account. */
   readonly prepaidTokens: number;
-  /** What all instances have spent or set aside, as far as is known here. */
+  /** Tokens spent or reserved by all instances, as known to this instance. */
   readonly seenBoundTokens: number;
-  /** The pace of use here; undefined while the account was not used anywhere. */
-  readonly paceTokensPerMs: number | undefined;
-  /** The pace of all instances together, as far as is known. */
-  readonly fleetPaceTokensPerMs: number;
-  /** Whether the account's stock is gathered at this instance. */
+  /** The usage rate at this instance; undefined if the account was not used anywhere yet. */
+  readonly usageTokensPerMs: number | undefined;
+  /** The usage rate of all instances together, as known to this instance. */
+  readonly fleetUsageTokensPerMs: number;
+  /** Whether this instance is the home of the account. */
   readonly isHome: boolean;
-  /** Whether the account was looked at since this instance knows the others. */
-  readonly isMeasured: boolean;
-  /** For how long the store has answered without a break, in milliseconds. */
-  readonly storeCalmMs: number;
+  /** Whether this instance knows the other instances. */
+  readonly isMembershipKnown: boolean;
+  /** For how long the store has been available without interruption, in milliseconds. */
+  readonly storeHealthyMs: number;
 }
 
 /**
- * How long gathered stock should last at the present pace, in milliseconds. Stock carries the account
- * through an outage of the store, 5 to 9 s long, and is lost when the process dies: with all instances
- * dead at once the account loses this much of its time.
+ * How long the stock at the home should last at the current usage rate, in milliseconds. It covers an
+ * outage of the store of 5 to 9 s, but is lost in a crash: if all instances crash at once, the account
+ * loses the tokens of this duration.
  */
-export const homeStockMs = 14_000;
+export const homeStockDurationMs = 14_000;
 /**
- * How long gathered stock should last right after a start or an outage, in milliseconds; it grows with
- * the calm that follows, since faults come together: what is filled up at once after an outage is lost
- * when the instance dies next.
+ * How long the stock at the home should last right after a start or an outage, in milliseconds. The
+ * duration grows while the store stays available. Faults tend to occur together, and a stock that is
+ * refilled at once after an outage is lost if the instance crashes next.
  */
-const firstStockMs = 2_000;
-/** The same for an instance that can borrow, in milliseconds: a few questions to peers a second. */
-const borrowedStockMs = 400;
+const initialStockDurationMs = 2_000;
+/** How long stock should last at an instance that can borrow, in milliseconds; a few requests per second. */
+const borrowedStockDurationMs = 400;
 /**
- * The share of the prepaid tokens that is taken before the pace is known: what an account uses in
- * {@link homeStockMs} when its tokens are meant for about a minute.
+ * The share of the prepaid tokens that the home holds before the usage rate is known: what an account
+ * uses in {@link homeStockDurationMs} if its tokens are meant for about a minute.
  */
-const openingShareOfAll = 0.25;
+const initialStockShare = 0.25;
 /**
- * Idle stock of an untouched account is at most this share of its tokens: all instances may die at any
- * moment, and what they hold then is lost.
+ * The largest share of the tokens of an unused account that may be idle stock, since all instances may
+ * crash at any moment and their stock is then lost.
  */
-const idleShareOfAll = 0.7;
+const maxIdleShare = 0.7;
 
 /**
- * The share of the most idle stock that an instance takes before it knows the others: each of them may
- * take itself for the one where stock is gathered.
+ * The share of the maximum idle stock that an instance holds before it knows the other instances, when
+ * each of them may consider itself the home.
  */
-const unmeasuredShare = 0.1;
+const startupStockShare = 0.1;
 
-/** What an account starts with where its stock is gathered, in tokens. */
-export function openingStock(situation: StockSituation): number {
-  if (!situation.isHome) return 0;
-  if (!situation.isMeasured) return unmeasuredShare * mostIdle(situation);
-  return Math.min(openingShareOfAll * situation.prepaidTokens, mostIdle(situation));
+/** The initial stock of an account, in tokens; 0 except at its home. */
+export function initialStockTokens(inputs: StockInputs): number {
+  if (!inputs.isHome) return 0;
+  if (!inputs.isMembershipKnown) return startupStockShare * maxIdleTokens(inputs);
+  return Math.min(initialStockShare * inputs.prepaidTokens, maxIdleTokens(inputs));
 }
 
 /**
- * The most that may lie idle at all instances together, in tokens.
+ * The maximum idle stock of all instances together, in tokens.
  *
- * Answers the death of all instances at once. What they held counts as spent. To an account that is
- * never used up this costs nothing; one that is has paid for what it is refused, and the less it has
- * left, the surer it is to get there. So stock shrinks with the square of what is left.
+ * It limits the loss if all instances crash at once, as their stock then counts as spent. The loss does
+ * not affect an account that is never used up. An account that is used up is refused tokens that it has
+ * paid for, and the fewer tokens are left, the more likely this is. Therefore the limit decreases with
+ * the square of the remaining share.
  */
-function mostIdle({ prepaidTokens, seenBoundTokens }: StockSituation): number {
+function maxIdleTokens({ prepaidTokens, seenBoundTokens }: StockInputs): number {
   const unspentTokens = Math.max(0, prepaidTokens - seenBoundTokens);
   const unspentShare = unspentTokens / Math.max(1, prepaidTokens);
-  return idleShareOfAll * unspentTokens * unspentShare;
+  return maxIdleShare * unspentTokens * unspentShare;
 }
 
 /**
- * The stock that an instance should have, in whole tokens.
+ * The target stock of an instance, in whole tokens.
  *
- * @param situation - what is known of the account
+ * @param inputs - what the instance knows about the account
  *
  * @example
- * wantedStock({ ...situation, paceTokensPerMs: 2, isHome: true });
+ * targetStockTokens({ ...inputs, usageTokensPerMs: 2, isHome: true });
  */
-export function wantedStock(situation: StockSituation): number {
-  const { isHome, fleetPaceTokensPerMs } = situation;
-  const pace = situation.paceTokensPerMs;
-  if (pace === undefined) return Math.floor(openingStock(situation));
-  const ownShare = pace <= 0 ? 0 : Math.min(1, pace / Math.max(pace, fleetPaceTokensPerMs));
-  const gatheredMs = Math.min(homeStockMs, firstStockMs + situation.storeCalmMs);
-  const stockMs = isHome ? gatheredMs : borrowedStockMs;
-  return Math.floor(Math.min(pace * stockMs, mostIdle(situation) * ownShare));
+export function targetStockTokens(inputs: StockInputs): number {
+  const { isHome, fleetUsageTokensPerMs } = inputs;
+  const tokensPerMs = inputs.usageTokensPerMs;
+  if (tokensPerMs === undefined) return Math.floor(initialStockTokens(inputs));
+  const instanceShare =
+    tokensPerMs <= 0 ? 0 : Math.min(1, tokensPerMs / Math.max(tokensPerMs, fleetUsageTokensPerMs));
+  const homeDurationMs = Math.min(
+    homeStockDurationMs,
+    initialStockDurationMs + inputs.storeHealthyMs,
+  );
+  const durationMs = isHome ? homeDurationMs : borrowedStockDurationMs;
+  return Math.floor(Math.min(tokensPerMs * durationMs, maxIdleTokens(inputs) * instanceShare));
 }
--- a/packages/ledger/src/_lib/rankHolders/test.ts
+++ b/packages/ledger/src/_lib/rankHolders/test.ts
@@ -12,14 +12,14 @@
   },
 };
 
-test('those that hold most come first, and those that hold nothing not at all', (t) => {
+test('holders are in descending order of tokens, without those that hold none', (t) => {
   const ownInstance = 'd' as InstanceId;
   t.deepEqual(rankHolders({ page, loans: [], ownInstance }), ['b', 'a'] as InstanceId[]);
   const loans = [['a~1', 600] as const];
   t.deepEqual(rankHolders({ page, loans, ownInstance }), ['a', 'b'] as InstanceId[]);
 });
 
-test('without a page the loans alone tell', (t) => {
+test('without a page only loans are considered', (t) => {
   const loans = [['c~2', 1] as const];
   const ownInstance = 'd' as InstanceId;
   t.deepEqual(rankHolders({ page: undefined, loans, ownInstance }), ['c'] as InstanceId[]);
--- a/packages/ledger/src/_lib/trimParts/index.ts
+++ b/packages/ledger/src/_lib/splitParts/index.ts
@@ -1,28 +1,28 @@
 import type { GrantPart } from '../../types.js';
 
-/** A reservation's parts, cut in two. */
-export interface TrimmedParts {
+/** The parts of a reservation, split at a number of tokens. */
+export interface SplitParts {
   readonly kept: readonly GrantPart[];
   readonly rest: readonly GrantPart[];
 }
 
 /**
- * Cuts parts after a number of tokens.
+ * Splits the parts of a reservation at a number of tokens.
  *
- * @param parts - what was reserved, in order
- * @param tokens - how many to keep
+ * @param parts - the parts, in order
+ * @param tokens - how many tokens to keep
  *
  * @example
- * trimParts([{ grantId, tokens: 5 }], 3);
+ * splitParts([{ grantId, tokens: 5 }], 3);
  * //=> { kept: [{ grantId, tokens: 3 }], rest: [{ grantId, tokens: 2 }] }
  */
-export function trimParts(parts: readonly GrantPart[], tokens: number): TrimmedParts {
+export function splitParts(parts: readonly GrantPart[], tokens: number): SplitParts {
   const kept: GrantPart[] = [];
   const rest: GrantPart[] = [];
-  let leftTokens = tokens;
+  let remainingTokens = tokens;
   for (const part of parts) {
-    const keptTokens = Math.min(leftTokens, part.tokens);
-    leftTokens -= keptTokens;
+    const keptTokens = Math.min(remainingTokens, part.tokens);
+    remainingTokens -= keptTokens;
     if (keptTokens > 0) kept.push({ ...part, tokens: keptTokens });
     if (keptTokens < part.tokens) rest.push({ ...part, tokens: part.tokens - keptTokens });
   }
--- a/packages/ledger/src/applyOperation/index.ts
+++ b/packages/ledger/src/applyOperation/index.ts
@@ -17,27 +17,27 @@
 
 /** Options of {@link applyOperation}. */
 export interface ApplyOperationOptions {
-  /** Now, in milliseconds since 1970. */
+  /** The current time, in milliseconds since 1970-01-01 UTC. */
   nowMs: number;
-  /** How long after its expiry a grant returns to its budget, in milliseconds. */
+  /** How long after its expiry a grant is returned to its budget, in milliseconds. */
   graceMs: number;
-  /** How long a request key protects against a second bill, in milliseconds. */
+  /** How long a request key prevents a second bill, in milliseconds. */
   keyProtectionMs: number;
   /**
-   * Copies of bills that belong to the batch under way and may be added to in place; without it each
-   * of many bills in one batch would copy all the keys of its budget.
+   * Copies of `bills` that were made during the current batch and may be changed in place. Without
+   * them, each bill of a batch would copy all request keys of its budget.
    */
-  drafts?: WeakSet<PageBudget['bills']>;
+  mutableBills?: WeakSet<PageBudget['bills']>;
 }
 
-/** A page after an operation, and what the operation did. */
+/** The page after an operation, and the result of the operation. */
 export interface AppliedOperation {
   readonly page: LedgerPage;
   readonly result: OperationResult;
 }
 
-/** Less than this share of what is wanted, and the holder's share allows, is not worth a grant. */
-const smallestRefillShare = 0.1;
+/** A refill smaller than this share of what was requested and the holder's share allows is denied. */
+const minGrantShare = 0.1;
 
 interface AppliedToBudget {
   readonly budget: PageBudget;
@@ -47,13 +47,13 @@
 /**
  * Applies one operation to a page.
  *
- * Keeps `settledTokens + Σ grants ≤ prepaidTokens` for every budget, and is idempotent: applied
- * again after a lost answer, an operation finds its own id and changes nothing.
+ * Maintains `settledTokens + Σ grants ≤ prepaidTokens` for every budget. It is idempotent: an
+ * operation that is retried after its response was lost finds its own id and changes nothing.
  *
  * @param page - the page as read
- * @param operation - what to do
- * @param options - the time and how long things last
- * @returns the new page, or the same one where nothing changed
+ * @param operation - the change to apply
+ * @param options - the current time and the retention periods
+ * @returns the result and the new page, which is the same object if nothing changed
  *
  * @example
  * const { page, result } = applyOperation(emptyPage, topUp, options);
@@ -64,9 +64,9 @@
   options: ApplyOperationOptions,
 ): AppliedOperation {
   const { budgetId, openingTokens } = operation.budget;
-  const found = page.budgets[budgetId] ?? openBudget(openingTokens);
-  // A bill adds a key and needs no room: looking for old keys at each one would cost more than it.
-  const current = operation.kind === 'bill' ? found : reclaimExpired(found, options);
+  const found = page.budgets[budgetId] ?? createBudget(openingTokens);
+  // A bill needs no free tokens, and searching for expired keys would cost more than the bill itself.
+  const current = operation.kind === 'bill' ? found : dropExpired(found, options);
   const { budget, result } = applyToBudget(current, operation, options);
   if (budget === page.budgets[budgetId]) return { page, result };
   return { page: { ...page, budgets: { ...page.budgets, [budgetId]: budget } }, result };
@@ -84,26 +84,26 @@
   return budget.prepaidTokens - budget.settledTokens - granted;
 }
 
-function openBudget(openingTokens: number): PageBudget {
+function createBudget(openingTokens: number): PageBudget {
   return { prepaidTokens: openingTokens, settledTokens: 0, topUps: {}, grants: {}, bills: {} };
 }
 
 /**
- * Returns grants of holders that are gone. A holder stops spending at `expiresAtMs` by its own
- * monotonic clock; the grace covers its longest request and the skew between clocks, so a grant is
- * never spent by its holder and by the next one.
+ * Removes expired grants, which returns their tokens to the budget, and expired request keys. A
+ * holder stops spending at `expiresAtMs` by its own monotonic clock. The grace period covers its
+ * longest request and the skew between clocks, so the same tokens are never spent by two holders.
  */
-function reclaimExpired(budget: PageBudget, options: ApplyOperationOptions): PageBudget {
+function dropExpired(budget: PageBudget, options: ApplyOperationOptions): PageBudget {
   const { nowMs, graceMs, keyProtectionMs } = options;
-  const isGone = (grant: PageGrant) => grant.expiresAtMs + graceMs <= nowMs;
-  const hasGone = Object.values(budget.grants).some(isGone);
-  const isOld = (atMs: number) => atMs + keyProtectionMs <= nowMs;
-  const hasOld = Object.values(budget.bills).some((bill) => isOld(bill.atMs));
-  if (!hasGone && !hasOld) return budget;
+  const isGrantExpired = (grant: PageGrant) => grant.expiresAtMs + graceMs <= nowMs;
+  const hasExpiredGrants = Object.values(budget.grants).some(isGrantExpired);
+  const isKeyExpired = (atMs: number) => atMs + keyProtectionMs <= nowMs;
+  const hasExpiredKeys = Object.values(budget.bills).some((bill) => isKeyExpired(bill.atMs));
+  if (!hasExpiredGrants && !hasExpiredKeys) return budget;
   return {
     ...budget,
-    grants: withoutEntries(budget.grants, isGone),
-    bills: withoutEntries(budget.bills, (bill) => isOld(bill.atMs)),
+    grants: withoutEntries(budget.grants, isGrantExpired),
+    bills: withoutEntries(budget.bills, (bill) => isKeyExpired(bill.atMs)),
   };
 }
 
@@ -150,7 +150,7 @@
   };
 }
 
-/** As much as is wanted and the shares allow; 0 where that is too little for an entry of its own. */
+/** The tokens that a grant gets within the shares; 0 if they are too few to be worth a grant. */
 function tokensWithinShares(
   budget: PageBudget,
   available: number,
@@ -159,15 +159,16 @@
   const { holder, wantedTokens, maxShare, maxTotalShare, awayWeight } = operation;
   const remainderTokens = budget.prepaidTokens - budget.settledTokens;
   const ownTokens = Math.floor(remainderTokens * maxShare) - grantedTokens(budget, holder);
-  const heldTokens = remainderTokens - available + (awayWeight - 1) * awayTokens(budget, operation);
-  const totalTokens = Math.floor(remainderTokens * maxTotalShare - heldTokens);
+  const countedTokens =
+    remainderTokens - available + (awayWeight - 1) * unreachableTokens(budget, operation);
+  const totalTokens = Math.floor(remainderTokens * maxTotalShare - countedTokens);
   const tokens = Math.min(available, wantedTokens, ownTokens, totalTokens);
-  const aimTokens = Math.min(wantedTokens, remainderTokens * maxShare);
-  return tokens < aimTokens * smallestRefillShare ? 0 : tokens;
+  const targetTokens = Math.min(wantedTokens, remainderTokens * maxShare);
+  return tokens < targetTokens * minGrantShare ? 0 : tokens;
 }
 
-/** What holders have that cannot be reached: perhaps lost, until their grants end. */
-function awayTokens(budget: PageBudget, { reachable }: GrantOperation): number {
+/** Tokens granted to unreachable holders, which may be lost until those grants expire. */
+function unreachableTokens(budget: PageBudget, { reachable }: GrantOperation): number {
   if (reachable === undefined) return 0;
   return Object.values(budget.grants)
     .filter((grant) => !reachable.has(grant.holder))
@@ -181,9 +182,9 @@
 }
 
 /**
- * Guards against a return that is written twice after a lost answer: it would give back tokens that
- * are in use. It shows as a number that the grant has seen already, and then changes nothing. A
- * return overtaken by a later one is dropped, which strands its tokens until the grant ends.
+ * Applies a return once. A return that is retried after its response was lost would otherwise return
+ * tokens that are in use; it is recognised by a number that the grant has recorded already. A return
+ * that arrives after a later one is ignored, so its tokens stay unavailable until the grant expires.
  */
 function applyReturn(budget: PageBudget, operation: ReturnOperation): AppliedToBudget {
   const { grantId, returnedBy, returnNumber } = operation;
@@ -216,9 +217,9 @@
 }
 
 /**
- * A bill moves tokens from its grant to `settledTokens`. Where the grant was taken back before the
- * bill arrived, or holds too little, the bill is charged only as far as the budget reaches: the
- * rest is unbillable, never overspend.
+ * Moves the tokens of a bill from its grants to `settledTokens`. If a grant was reclaimed before the
+ * bill arrived, or has too few tokens, the available tokens of the budget are charged instead. What
+ * they do not cover is unbillable, so the budget is never overspent.
  */
 function applyBill(
   budget: PageBudget,
@@ -226,7 +227,8 @@
   options: ApplyOperationOptions,
 ): AppliedToBudget {
   const existing = budget.bills[operation.requestKey];
-  if (existing !== undefined) return { budget, result: repeatedBill(budget, operation, existing) };
+  if (existing !== undefined)
+    return { budget, result: resultOfRepeatedBill(budget, operation, existing) };
   const { grants, chargedTokens: fromGrants } = chargeParts(budget.grants, operation);
   const fromBudget = Math.min(operation.tokens - fromGrants, availableTokens(budget));
   const chargedTokens = fromGrants + fromBudget;
@@ -240,7 +242,7 @@
     ...budget,
     settledTokens: budget.settledTokens + chargedTokens,
     grants,
-    bills: withBill(budget.bills, operation.requestKey, bill, options.drafts),
+    bills: addBill(budget.bills, operation.requestKey, bill, options.mutableBills),
   };
   return {
     budget: charged,
@@ -253,16 +255,16 @@
   };
 }
 
-function withBill(
+function addBill(
   bills: PageBudget['bills'],
   requestKey: string,
   bill: PageBill,
-  drafts: ApplyOperationOptions['drafts'],
+  mutableBills: ApplyOperationOptions['mutableBills'],
 ): PageBudget['bills'] {
-  const draft: Record<string, PageBill> = drafts?.has(bills) === true ? bills : { ...bills };
-  draft[requestKey] = bill;
-  drafts?.add(draft);
-  return draft;
+  const copy: Record<string, PageBill> = mutableBills?.has(bills) === true ? bills : { ...bills };
+  copy[requestKey] = bill;
+  mutableBills?.add(copy);
+  return copy;
 }
 
 interface ChargedParts {
@@ -270,9 +272,9 @@
   readonly chargedTokens: number;
 }
 
-/** Takes a bill's tokens from the grants that were held for it, in order. */
+/** Charges a bill to the grants that were reserved for it, in order. */
 function chargeParts(grants: PageBudget['grants'], operation: BillOperation): ChargedParts {
-  const takeFrom = (charged: ChargedParts, part: GrantPart): ChargedParts => {
+  const chargePart = (charged: ChargedParts, part: GrantPart): ChargedParts => {
     const grant = charged.grants[part.grantId];
     if (grant === undefined) return charged;
     const leftTokens = operation.tokens - charged.chargedTokens;
@@ -282,11 +284,14 @@
       chargedTokens: charged.chargedTokens + taken,
     };
   };
-  return operation.parts.reduce(takeFrom, { grants, chargedTokens: 0 });
+  return operation.parts.reduce(chargePart, { grants, chargedTokens: 0 });
 }
 
-/** The same attempt again is a lost answer met by writing again; another attempt is a retry. */
-function repeatedBill(
+/**
+ * The result for a request key that was billed before. The same request id means that the write was
+ * retried after its response was lost; another request id means that the caller retried the request.
+ */
+function resultOfRepeatedBill(
   budget: PageBudget,
   operation: BillOperation,
   existing: PageBudget['bills'][string],
@@ -313,9 +318,9 @@
 
 function withoutEntries<Value>(
   record: Readonly<Record<string, Value>>,
-  isDropped: (value: Value, key: string) => boolean,
+  shouldDrop: (value: Value, key: string) => boolean,
 ): Record<string, Value> {
   return Object.fromEntries(
-    Object.entries(record).filter(([key, value]) => !isDropped(value, key)),
+    Object.entries(record).filter(([key, value]) => !shouldDrop(value, key)),
   );
 }
--- a/packages/ledger/src/applyOperation/test.ts
+++ b/packages/ledger/src/applyOperation/test.ts
@@ -50,7 +50,7 @@
   return applyOperation(page, operation, { ...options, nowMs });
 }
 
-test('grants never add up to more than the budget', (t) => {
+test('the sum of grants never exceeds the budget', (t) => {
   const first = run(emptyPage, grant('g1', 70));
   const second = run(first.page, grant('g2', 70));
   t.deepEqual(second.result, { kind: 'granted', tokens: 30, availableTokens: 0 });
@@ -61,7 +61,7 @@
   });
 });
 
-test('a bill counts once, whichever attempt wrote it', (t) => {
+test('a request key is billed once, whichever attempt wrote the bill', (t) => {
   const granted = run(emptyPage, grant('g1', 50)).page;
   const billed = run(granted, bill('g1', 'k', 'r1', 20)).page;
   t.is(run(billed, bill('g1', 'k', 'r1', 20)).page, billed);
@@ -70,9 +70,9 @@
   t.is(billed.budgets.b?.grants.g1?.tokens, 30);
 });
 
-// An instance is frozen past its grant's end and the budget is granted to another; when it wakes it
-// bills what it generated. The bill may take what is left of the budget, and no more.
-test('a bill after its grant was taken back is charged as far as the budget reaches', (t) => {
+// An instance is paused past the expiry of its grant, and the tokens are granted again. When it resumes,
+// it bills what it generated. The bill may take only what is left of the budget.
+test('a bill whose grant was reclaimed is charged only up to the available tokens', (t) => {
   const granted = run(emptyPage, grant('g1', 60)).page;
   const lateMs = 2_051;
   const retaken = run(granted, { ...grant('g2', 90), expiresAtMs: 9_000 }, lateMs);
@@ -88,16 +88,16 @@
   t.is(after === undefined ? -1 : availableTokens(after), 0);
 });
 
-test('a top-up counts once by its id', (t) => {
+test('a top-up is applied once per id', (t) => {
   const topUp: PageOperation = { kind: 'topUp', budget, topUpId: 't1', tokens: 5 };
   const once = run(emptyPage, topUp).page;
   t.is(run(once, topUp).page, once);
   t.is(once.budgets.b?.prepaidTokens, 105);
 });
 
-// The answer to a return is lost and the return is written again, while the rest of the grant is in
-// use. Counted twice, it would give back tokens that a running request spends.
-test('a return counts once by its number', (t) => {
+// The response to a return is lost and the return is retried while the rest of the grant is in use.
+// Applied twice, it would return tokens that a running request spends.
+test('a return is applied once per number', (t) => {
   const granted = run(emptyPage, grant('g1', 60)).page;
   const giveBack = (returnNumber: number): PageOperation => ({
     kind: 'return',
@@ -114,7 +114,7 @@
   t.is(run(once, giveBack(3)).page.budgets.b?.grants.g1?.tokens, 20);
 });
 
-test('a renewal never brings a grant back, nor shortens one', (t) => {
+test('a renewal neither restores a removed grant nor shortens an existing one', (t) => {
   const renew: PageOperation = {
     kind: 'renew',
     budget,
@@ -126,7 +126,7 @@
   t.is(run(granted, renew).page, granted);
 });
 
-test('shares bound a refill, and never a request that waits', (t) => {
+test('shares limit a refill but not the tokens that a waiting request needs', (t) => {
   const shares = {
     maxShare: 0.2,
     maxTotalShare: 0.5,
@@ -137,6 +137,6 @@
   t.like(run(emptyPage, refill).result, { kind: 'granted', tokens: 20 });
   t.like(run(emptyPage, { ...refill, minTokens: 70 }).result, { kind: 'granted', tokens: 70 });
   const away = { ...grant('g0', 25), holder: 'i2' as InstanceId };
-  // 25 with a holder that cannot be reached count as 50: nothing is left of the common half.
+  // The 25 tokens of the unreachable holder count as 50, which uses up the total share of one half.
   t.is(run(run(emptyPage, away).page, refill).result.kind, 'denied');
 });
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Budgets: pages, grants, reservations, billing and request records.
+ * Token budgets: pages in the store, grants, reservations, bills and request records.
  */
 export type * from './types.js';
 export * from './pageSchema/index.js';
@@ -19,6 +19,6 @@
 export * from './prepaidPage/index.js';
 export * from './PrepaidPeers/index.js';
 export * from './NoPrepaidPeers/index.js';
-export { prepaidPageKey, prepaidPagePrefix } from './_lib/PrepaidGrant/index.js';
+export { prepaidPageKey, prepaidPagePrefix } from './_lib/StoredGrant/index.js';
 export * from './PrepaidAccount/index.js';
 export * from './PrepaidAccounts/index.js';
--- a/packages/ledger/src/pageKeyOf/index.ts
+++ b/packages/ledger/src/pageKeyOf/index.ts
@@ -1,14 +1,14 @@
 import { hashText } from '@acaciacrank/base';
 import type { BudgetRef } from '../types.js';
 
-/** How many pages an account's budgets spread over. Changing it would lose sight of pages. */
+/** The number of pages of an account. Stored pages could no longer be found if it changed. */
 export const pagesPerAccount = 4;
 
 /**
  * The key of the page that holds a budget.
  *
- * An account's budgets share pages, since the directory sends an account's callers to few
- * instances: so few instances write each page, and one write serves many budgets.
+ * The budgets of an account share pages, because the directory sends the callers of an account to few
+ * instances: few instances write each page, and one write serves many budgets.
  *
  * @example
  * pageKeyOf({ accountId, budgetId, openingTokens: 0 });
--- a/packages/ledger/src/pageSchema/index.ts
+++ b/packages/ledger/src/pageSchema/index.ts
@@ -1,5 +1,5 @@
 /**
- * Checks ledger pages read from the store.
+ * Validation of ledger pages read from the store.
  */
 import { RouterError } from '@acaciacrank/base';
 import { z } from 'zod';
@@ -41,12 +41,12 @@
 export const emptyPage: LedgerPage = { format: 1, budgets: {} };
 
 /**
- * Checks a page. A page of a newer format, or one that does not parse, is never overwritten.
+ * Validates a page. Throws for a newer format or an invalid page, so that it is never overwritten.
  *
- * @param key - the page's key, for the message
- * @param value - what the store holds; undefined for no object
+ * @param key - the key of the page, for the error message
+ * @param value - the stored value; undefined if there is no object
  * @returns the page
- * @throws RouterError `internal`
+ * @throws RouterError `internal` if the page does not parse
  *
  * @example
  * const page = parsePage(key, (await store.read(key))?.value);
@@ -55,7 +55,7 @@
   if (value === undefined) return emptyPage;
   const result = pageSchema.safeParse(value);
   if (result.success) return result.data as unknown as LedgerPage;
-  throw new RouterError('internal', `ledger page ${key} does not parse and is left as it is`, {
+  throw new RouterError('internal', `ledger page ${key} does not parse; it was not changed`, {
     cause: result.error,
     ran: 'notRun',
   });
