--- a/packages/ledger/src/prepaidPage/index.ts
+++ b/packages/ledger/src/prepaidPage/index.ts
@@ -1,43 +1,44 @@
 /**
- * The page of one client account's prepaid tokens: who holds how much of them.
+ * The stored page of the prepaid tokens of one client account: how many each process run holds.
  *
- * Nothing is written for a request. A page holds only what each lifetime of an instance may spend in
- * all, so the sum over a page bounds what was and will be spent, whoever dies at whatever moment.
+ * Nothing is written per request. A page contains only the total that each process run of an instance
+ * may spend, so the sum over a page limits all spending, whichever instance crashes at whatever moment.
  */
 import type { InstanceId } from '@acaciacrank/base';
 import { z } from 'zod';
 import type { Lifetime } from '../types.js';
 
 const grantSchema = z.object({
-  /** All that this lifetime may ever spend. */
+  /** The total that this process run may ever spend. */
   grantedTokens: z.number().int().nonnegative(),
-  /** What it had spent, or set aside for requests under way, when it last wrote. */
+  /** What it had spent, or reserved for requests under way, when it last wrote the page. */
   boundTokens: z.number().int().nonnegative(),
 });
 
 const pageSchema = z.object({
-  /** Grants of lifetimes that have ended; nobody knows their use, so all of it counts as spent. */
+  /** Grants of ended process runs. Their actual use is unknown, so all of their tokens count as spent. */
   endedTokens: z.number().int().nonnegative(),
   grants: z.record(z.string(), grantSchema),
 });
 
-/** What one lifetime holds of an account. */
+/** The grant of one process run in a page. */
 export type PrepaidGrant = Readonly<z.infer<typeof grantSchema>>;
 
-/** One account's page. */
+/** The page of one account. */
 export interface PrepaidPage {
   readonly endedTokens: number;
   readonly grants: Readonly<Record<string, PrepaidGrant>>;
 }
 
-/** The page of an account of which nothing was granted yet. */
+/** The page of an account without grants. */
 export const emptyPrepaidPage: PrepaidPage = { endedTokens: 0, grants: {} };
 
 /**
- * Reads a page as it lies in the store.
+ * Parses a stored page.
  *
  * @param value - the stored value
- * @returns the page; undefined where it does not parse, which must stop grants, not begin anew
+ * @returns the page; undefined if it does not parse, in which case the caller must not grant any tokens
+ * rather than start with an empty page
  *
  * @example
  * parsePrepaidPage({ endedTokens: 0, grants: {} });
@@ -49,7 +50,7 @@
 }
 
 /**
- * All tokens that are spent or may still be.
+ * The sum of all tokens that are spent or may still be spent.
  *
  * @example
  * grantedTotal({ endedTokens: 5, grants: { a: { grantedTokens: 10, boundTokens: 1 } } });
@@ -61,50 +62,50 @@
 }
 
 /**
- * What was spent or set aside, as far as the lifetimes have told.
+ * The sum of tokens that are spent or reserved, as last reported in the page.
  *
  * @example
  * boundAtLeast({ endedTokens: 5, grants: { a: { grantedTokens: 10, boundTokens: 1 } } });
  * //=> 6
  */
-export function boundAtLeast(page: PrepaidPage): number {
+export function reportedBoundTotal(page: PrepaidPage): number {
   const grants = Object.values(page.grants);
   return grants.reduce((sum, grant) => sum + grant.boundTokens, page.endedTokens);
 }
 
 /**
- * Sets what one lifetime holds, and closes the grants of that instance's earlier lifetimes.
+ * Sets the grant of a process run, and closes the grants of earlier runs of the same instance.
  *
- * An instance begins a new lifetime only when the last one has ended, so its older grants can no
- * longer be drawn on; closing them keeps a page as small as the fleet.
+ * A new process run of an instance starts only after the last one has ended, so older grants can no
+ * longer be used. Closing them limits the size of a page to one grant per instance.
  *
- * @param page - the page as it stands
- * @param lifetime - whose grant
- * @param grant - what it holds from now on
+ * @param page - the current page
+ * @param lifetime - the process run
+ * @param grant - its new grant
  * @returns the new page
  *
  * @example
  * withGrant(emptyPrepaidPage, lifetime, { grantedTokens: 10, boundTokens: 0 });
  */
 export function withGrant(page: PrepaidPage, lifetime: Lifetime, grant: PrepaidGrant): PrepaidPage {
-  const own = lifetimeKey(lifetime);
-  const earlier = `${lifetime.instanceId}${keySeparator}`;
+  const ownKey = lifetimeKey(lifetime);
+  const instanceKeyPrefix = `${lifetime.instanceId}${keySeparator}`;
   let endedTokens = page.endedTokens;
   const grants: Record<string, PrepaidGrant> = {};
   for (const [key, held] of Object.entries(page.grants)) {
-    if (key === own) continue;
-    if (key.startsWith(earlier)) endedTokens += held.grantedTokens;
+    if (key === ownKey) continue;
+    if (key.startsWith(instanceKeyPrefix)) endedTokens += held.grantedTokens;
     else grants[key] = held;
   }
-  grants[own] = grant;
+  grants[ownKey] = grant;
   return { endedTokens, grants };
 }
 
-/** Not allowed in ids, so that no instance's name is the beginning of another's key. */
+/** Not allowed in ids, so that no instance id with this suffix is a prefix of another instance's key. */
 const keySeparator = '~';
 
 /**
- * The key of a lifetime in a page.
+ * The key of a process run in a page.
  *
  * @example
  * lifetimeKey({ instanceId, runId: '5f' });
@@ -121,12 +122,12 @@
 }
 
 /**
- * The instance whose lifetime a key names.
+ * The id of the instance in the key of a process run.
  *
  * @example
- * instanceOf('a1~5f');
+ * instanceIdOf('a1~5f');
  * //=> 'a1'
  */
-export function instanceOf(key: string): InstanceId {
+export function instanceIdOf(key: string): InstanceId {
   return key.slice(0, key.indexOf(keySeparator)) as InstanceId;
 }
--- a/packages/ledger/src/readBudget/index.ts
+++ b/packages/ledger/src/readBudget/index.ts
@@ -4,7 +4,7 @@
 import { parsePage } from '../pageSchema/index.js';
 import type { BudgetRef } from '../types.js';
 
-/** What the store says of a budget. */
+/** The stored totals of a budget. */
 export interface BudgetStatus {
   readonly budgetId: string;
   readonly prepaidTokens: number;
@@ -19,8 +19,8 @@
  *
  * @param store - the platform's store
  * @param budget - the budget
- * @returns its totals; the opening ones when nothing was drawn yet
- * @throws RouterError `storeUnavailable`
+ * @returns its totals; those of an unused budget if the page does not contain it yet
+ * @throws RouterError `storeUnavailable`, or `internal` if the page does not parse
  *
  * @example
  * const { settledTokens } = await readBudget(store, budget);
--- a/packages/ledger/src/topUpBudget/index.ts
+++ b/packages/ledger/src/topUpBudget/index.ts
@@ -9,15 +9,16 @@
 export const maxTopUpTokens = 1_000_000_000_000;
 
 /**
- * Adds prepaid tokens to a budget, once for each top-up id.
+ * Adds prepaid tokens to a budget, once per top-up id.
  *
  * @param store - the platform's store
- * @param clock - measures the back-off
+ * @param clock - measures the backoff between retries
  * @param budget - the budget
- * @param topUpId - chosen by the operator; the same id again changes nothing
- * @param tokens - how many to add
- * @returns the budget's prepaid total, in tokens
- * @throws RouterError `badRequest` for a negative, fractional or absurd amount, or `storeUnavailable`
+ * @param topUpId - chosen by the operator; a repeated id changes nothing
+ * @param tokens - how many to add, from 1 to {@link maxTopUpTokens}
+ * @returns the prepaid total of the budget, in tokens
+ * @throws RouterError `badRequest` for an amount that is not an integer in that range, or
+ * `storeUnavailable`
  *
  * @example
  * await topUpBudget(store, clock, budget, 'invoice-4711', 50_000);
@@ -32,7 +33,7 @@
   if (!Number.isSafeInteger(tokens) || tokens <= 0 || tokens > maxTopUpTokens) {
     throw new RouterError(
       'badRequest',
-      `a top-up adds 1 to ${maxTopUpTokens} whole tokens, not ${tokens}`,
+      `a top-up must be a whole number of tokens from 1 to ${maxTopUpTokens}, got ${tokens}`,
     );
   }
   const key = pageKeyOf(budget);
--- a/packages/ledger/src/types.ts
+++ b/packages/ledger/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the ledger keeps and what is asked of it.
+ * Stored data of the ledger, and the operations that change it.
  */
 import type {
   AccountId,
@@ -10,26 +10,26 @@
   RequestKey,
 } from '@acaciacrank/base';
 
-/** A budget, as the request path knows it. */
+/** Identifies a budget on the request path. */
 export interface BudgetRef {
   readonly accountId: AccountId;
   readonly budgetId: BudgetId;
-  /** Tokens that the budget opens with when the ledger first meets it. */
+  /** Prepaid tokens of the budget when it is first used. */
   readonly openingTokens: number;
 }
 
-/** Tokens set aside in a page for one instance. */
+/** Tokens of a budget that are set aside for one instance. */
 export interface PageGrant {
   readonly holder: InstanceId;
-  /** What is left of the grant, in tokens. */
+  /** Remaining tokens of the grant. */
   readonly tokens: number;
-  /** When the holder must have stopped spending, in milliseconds since 1970. */
+  /** When the holder must stop spending, in milliseconds since 1970-01-01 UTC. */
   readonly expiresAtMs: number;
-  /** For each life of an instance that gave part of it back: the number of its last return. */
+  /** The number of the last return, by the process run that returned a part of the grant. */
   readonly returns?: Readonly<Record<string, number>>;
 }
 
-/** The one billing record of a request key. */
+/** The billing record of a request key; there is at most one. */
 export interface PageBill {
   readonly requestId: RequestId;
   readonly tokens: number;
@@ -37,7 +37,7 @@
   readonly atMs: number;
 }
 
-/** One budget in a page. */
+/** A budget as stored in a page. */
 export interface PageBudget {
   readonly prepaidTokens: number;
   readonly settledTokens: number;
@@ -46,7 +46,7 @@
   readonly bills: Readonly<Record<string, PageBill>>;
 }
 
-/** One ledger page. */
+/** A ledger page: the stored object that holds the state of some budgets. */
 export interface LedgerPage {
   readonly format: 1;
   readonly budgets: Readonly<Record<string, PageBudget>>;
@@ -59,20 +59,20 @@
   readonly grantId: GrantId;
   readonly holder: InstanceId;
   readonly wantedTokens: number;
-  /** What a request waits for, whatever the shares say; 0 for a refill ahead of need. */
+  /** Tokens that a waiting request needs, granted regardless of the shares; 0 for a refill in advance. */
   readonly minTokens: number;
-  /** The largest share, of all that is not settled, that the holder may hold; in (0, 1]. */
+  /** The largest share of the unsettled tokens that the holder may hold, in (0, 1]. */
   readonly maxShare: number;
-  /** The largest share, of all that is not settled, that grants may hold together; in (0, 1]. */
+  /** The largest share of the unsettled tokens that all grants together may hold, in (0, 1]. */
   readonly maxTotalShare: number;
-  /** How many times the grants of holders that cannot be reached count towards that share. */
+  /** The factor by which grants of unreachable holders count towards `maxTotalShare`. */
   readonly awayWeight: number;
-  /** Who can be reached now; undefined where that is not known. */
+  /** Instances that can be reached now; undefined if unknown. */
   readonly reachable: ReadonlySet<InstanceId> | undefined;
   readonly expiresAtMs: number;
 }
 
-/** Gives back what is left of a grant; idempotent. */
+/** Returns the rest of a grant to its budget and removes the grant; idempotent. */
 export interface CloseOperation {
   readonly kind: 'close';
   readonly budget: BudgetRef;
@@ -80,20 +80,20 @@
 }
 
 /**
- * Gives back a part of a grant; idempotent by `returnNumber`, which rises with each return of one
- * life of an instance.
+ * Returns a part of a grant to its budget; idempotent by `returnNumber`, which increases with each
+ * return by the same process run.
  */
 export interface ReturnOperation {
   readonly kind: 'return';
   readonly budget: BudgetRef;
   readonly grantId: GrantId;
-  /** Names the life of the instance that gives back. */
+  /** Identifies the process run that returns the tokens. */
   readonly returnedBy: string;
   readonly returnNumber: number;
   readonly tokens: number;
 }
 
-/** Prolongs a grant that still stands; idempotent. */
+/** Extends the expiry of an existing grant; idempotent. */
 export interface RenewOperation {
   readonly kind: 'renew';
   readonly budget: BudgetRef;
@@ -101,13 +101,13 @@
   readonly expiresAtMs: number;
 }
 
-/** Drops what a page need not keep any longer: grants past their grace and old request keys. */
+/** Removes expired data: grants past their grace period and request keys that need no protection. */
 export interface PruneOperation {
   readonly kind: 'prune';
   readonly budget: BudgetRef;
 }
 
-/** What a reservation holds of one grant. */
+/** The tokens that a reservation takes from one grant. */
 export interface GrantPart {
   readonly grantId: GrantId;
   readonly tokens: number;
@@ -117,7 +117,7 @@
 export interface BillOperation {
   readonly kind: 'bill';
   readonly budget: BudgetRef;
-  /** What was held for the request; charged in this order. */
+  /** The reserved tokens, charged in this order. */
   readonly parts: readonly GrantPart[];
   readonly requestKey: RequestKey;
   readonly requestId: RequestId;
@@ -125,7 +125,7 @@
   readonly tokens: number;
 }
 
-/** Adds prepaid tokens; idempotent by top-up id. */
+/** Adds prepaid tokens; idempotent by `topUpId`. */
 export interface TopUpOperation {
   readonly kind: 'topUp';
   readonly budget: BudgetRef;
@@ -133,7 +133,7 @@
   readonly tokens: number;
 }
 
-/** One change of a page. */
+/** A change of a page. */
 export type PageOperation =
   | GrantOperation
   | CloseOperation
@@ -143,7 +143,7 @@
   | BillOperation
   | TopUpOperation;
 
-/** What one change did. `availableTokens` is what the budget has left after it. */
+/** Result of an operation. `availableTokens` is what the budget has available after it. */
 export type OperationResult =
   | { readonly kind: 'granted'; readonly tokens: number; readonly availableTokens: number }
   | DeniedResult
@@ -155,11 +155,11 @@
   | { readonly kind: 'alreadyBilled'; readonly bill: PageBill }
   | { readonly kind: 'toppedUp'; readonly prepaidTokens: number };
 
-/** Nothing was set aside. */
+/** A grant was refused. */
 export interface DeniedResult {
   readonly kind: 'denied';
   readonly availableTokens: number;
-  /** Who holds grants of the budget. */
+  /** Instances that hold grants of the budget. */
   readonly holders: readonly InstanceId[];
 }
 
@@ -171,9 +171,9 @@
   readonly availableTokens: number;
 }
 
-/** One run of an instance's process, from its start to its end. */
+/** One process run of an instance, from start to exit. */
 export interface Lifetime {
   readonly instanceId: InstanceId;
-  /** Drawn anew at each start, so that no two runs are ever taken for each other. */
+  /** Generated at each start, so that two runs of the same instance are never confused. */
   readonly runId: string;
 }
