--- a/packages/forwarding/src/FleetPrepaidPeers/index.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/index.ts
@@ -13,27 +13,36 @@
   questions: FleetQuestions;
   clock: Clock;
   instanceId: InstanceId;
-  /** The instances that share the accounts now, this one included. */
+  /** The instances that currently share the accounts, including this one. */
   live: () => readonly InstanceId[];
-  /** Called when a peer stops or begins again to answer. */
-  onReach: (peer: InstanceId, isReached: boolean) => void;
+  /** Called when a peer stops responding, and when it responds again. */
+  onReachabilityChange: (peer: InstanceId, isReached: boolean) => void;
 }
 
-/** How long a peer has to answer, in milliseconds; a request waits for it. Links take 1 to 3. */
-const answerLimitMs = 200;
 /**
- * How long a question may wait here for the store, in milliseconds. Well under {@link answerLimitMs},
- * so that a slow store is not taken for a peer that is gone.
+ * Timeout for a peer's reply, in milliseconds. A request waits for the reply; network latency is 1
+ * to 3 ms.
  */
-const storeWaitMs = 100;
-/** How long a peer that did not answer is not asked again, in milliseconds: a few links' silence. */
-const unreachedMs = 2_000;
+const replyTimeoutMs = 200;
+/**
+ * How long a peer's loan request may wait here for the store, in milliseconds. Well below {@link
+ * replyTimeoutMs}, so that a slow store does not make this instance look unreachable.
+ */
+const storeTimeoutMs = 100;
+/**
+ * How long a peer that did not reply is not asked again, in milliseconds: somewhat longer than it
+ * takes to detect a dead connection.
+ */
+const unreachableMs = 2_000;
 
-/** The other instances as holders of prepaid tokens, over the links between instances. */
+/**
+ * Requests tokens for prepaid accounts from other instances, over the connections between
+ * instances.
+ */
 export class FleetPrepaidPeers extends PrepaidPeers {
   readonly #options: FleetPrepaidPeersOptions;
-  /** Peers that did not answer, and until when they are passed over. */
-  readonly #unreached = new Map<InstanceId, number>();
+  /** For each peer that did not reply, the time until which it is skipped. */
+  readonly #unreachableUntilMs = new Map<InstanceId, number>();
 
   constructor(options: FleetPrepaidPeersOptions) {
     super();
@@ -41,12 +50,12 @@
   }
 
   override homeOf(accountId: AccountId): InstanceId | undefined {
-    const [first] = this.#ranked(accountId);
+    const [first] = this.#rankInstances(accountId);
     return first === this.#options.instanceId ? undefined : first;
   }
 
   override backupOf(accountId: AccountId): InstanceId | undefined {
-    const [, ...rest] = this.#ranked(accountId);
+    const [, ...rest] = this.#rankInstances(accountId);
     return rest.find((id) => id !== this.#options.instanceId);
   }
 
@@ -55,12 +64,12 @@
     try {
       const asked = { kind: 'prepaidTokens', loan: question } as const;
       const { lender, lentTokens, outcome } = await questions.ask(peer, asked, {
-        timeoutMs: answerLimitMs,
+        timeoutMs: replyTimeoutMs,
       });
-      if (this.#unreached.delete(peer)) this.#options.onReach(peer, true);
+      if (this.#unreachableUntilMs.delete(peer)) this.#options.onReachabilityChange(peer, true);
       return { lender, lentTokens, outcome };
     } catch {
-      this.#noteUnreached(peer);
+      this.#markUnreachable(peer);
       return undefined;
     }
   }
@@ -72,8 +81,8 @@
     }));
   }
 
-  #ranked(accountId: AccountId): readonly InstanceId[] {
-    const candidates = this.#options.live().filter((id) => !this.#isUnreached(id));
+  #rankInstances(accountId: AccountId): readonly InstanceId[] {
+    const candidates = this.#options.live().filter((id) => !this.#isUnreachable(id));
     const ranked = rankByKey(
       accountId,
       candidates.map((id) => ({ id })),
@@ -81,26 +90,29 @@
     return ranked.map(({ id }) => id);
   }
 
-  /** What is lent after the wait ended is told by the next answer. */
+  /**
+   * Tokens lent after the timeout are reported by the next reply, since replies contain running
+   * totals.
+   */
   async #answer(loan: LoanQuestion, handler: LoanHandler): Promise<LoanAnswer> {
     const bounds = { kind: 'storeUnavailable', what: 'tokens for a peer' } as const;
     const answering = handler(loan);
     try {
-      return await withTimeout(this.#options.clock, storeWaitMs, () => answering, bounds);
+      return await withTimeout(this.#options.clock, storeTimeoutMs, () => answering, bounds);
     } catch {
       const settled = await handler({ ...loan, neededTokens: 0, wantedTokens: 0 });
       return { ...settled, outcome: 'storeAway' };
     }
   }
 
-  #noteUnreached(peer: InstanceId): void {
-    const { clock, onReach } = this.#options;
-    if (!this.#unreached.has(peer)) onReach(peer, false);
-    this.#unreached.set(peer, clock.monotonicMs() + unreachedMs);
+  #markUnreachable(peer: InstanceId): void {
+    const { clock, onReachabilityChange } = this.#options;
+    if (!this.#unreachableUntilMs.has(peer)) onReachabilityChange(peer, false);
+    this.#unreachableUntilMs.set(peer, clock.monotonicMs() + unreachableMs);
   }
 
-  #isUnreached(peer: InstanceId): boolean {
-    const untilMs = this.#unreached.get(peer);
+  #isUnreachable(peer: InstanceId): boolean {
+    const untilMs = this.#unreachableUntilMs.get(peer);
     return untilMs !== undefined && this.#options.clock.monotonicMs() < untilMs;
   }
 }
--- a/packages/forwarding/src/FleetPrepaidPeers/test.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/test.ts
@@ -16,68 +16,70 @@
   wantedTokens: 0,
 };
 
-/** Links in memory; an end that is silent neither sends nor receives. */
+/** In-memory connections between instances; a silent endpoint neither sends nor receives. */
 class MemoryLinks extends FleetLinks {
-  static readonly ends = new Map<string, MemoryLinks>();
+  static readonly endpoints = new Map<string, MemoryLinks>();
   isSilent = false;
   readonly #key: string;
-  readonly #scene: string;
+  readonly #network: string;
   readonly #id: InstanceId;
 
-  constructor(scene: string, id: InstanceId) {
+  constructor(network: string, id: InstanceId) {
     super();
-    this.#scene = scene;
+    this.#network = network;
     this.#id = id;
-    this.#key = `${scene}/${id}`;
-    MemoryLinks.ends.set(this.#key, this);
+    this.#key = `${network}/${id}`;
+    MemoryLinks.endpoints.set(this.#key, this);
   }
 
   override send(to: InstanceId, message: FleetMessage): void {
-    const end = MemoryLinks.ends.get(`${this.#scene}/${to}`);
-    if (end === undefined || this.isSilent || end.isSilent) return;
+    const endpoint = MemoryLinks.endpoints.get(`${this.#network}/${to}`);
+    if (endpoint === undefined || this.isSilent || endpoint.isSilent) return;
     queueMicrotask(() => {
-      end.deliver(message, this.#id);
+      endpoint.deliver(message, this.#id);
     });
   }
 
   override setPeers(): void {
-    // All ends of a scene know each other.
+    // All endpoints of a network know each other.
   }
 }
 
-function startScene(name: string) {
+function startNetwork(name: string) {
   const clock = new ManualClock();
-  const reach: string[] = [];
-  const ends = ids.map((id) => {
+  const reachabilityChanges: string[] = [];
+  const endpoints = ids.map((id) => {
     const links = new MemoryLinks(name, id);
     const peers = new FleetPrepaidPeers({
       questions: new FleetQuestions({ links, clock }),
       clock,
       instanceId: id,
       live: () => ids,
-      onReach: (peer, isReached) => reach.push(`${id}-${peer} ${isReached}`),
+      onReachabilityChange: (peer, isReached) =>
+        reachabilityChanges.push(`${id}-${peer} ${isReached}`),
     });
     return { id, links, peers };
   });
-  return { clock, ends, reach };
+  return { clock, endpoints, reachabilityChanges };
 }
 
 function lent(lentTokens: number): LoanAnswer {
   return { lender: 'x~1', lentTokens, outcome: 'lent' };
 }
 
-test('all instances name the same home, which names nobody', (t) => {
-  const { ends } = startScene('home');
-  const homes = new Set(ends.map(({ id, peers }) => peers.homeOf(accountId) ?? id));
+test('all instances select the same home, which itself selects none', (t) => {
+  const { endpoints } = startNetwork('home');
+  const homes = new Set(endpoints.map(({ id, peers }) => peers.homeOf(accountId) ?? id));
   t.is(homes.size, 1);
 });
 
-// The instance at which an account's stock is gathered goes silent. Each request would wait for it;
-// after the first one the next instance in order takes its place, until it answers again.
-test('a home that does not answer is passed over for a while', async (t) => {
-  const { clock, ends, reach } = startScene('silent');
-  const home = ends.find(({ peers }) => peers.homeOf(accountId) === undefined);
-  const asker = ends.find((end) => end !== home);
+// The home instance, which collects an account's tokens, stops responding. Without the fallback each request would wait
+// for it; after the first time-out the next instance in the ranking takes its place, until the home
+// responds again.
+test('a home that does not reply is skipped temporarily', async (t) => {
+  const { clock, endpoints, reachabilityChanges } = startNetwork('silent');
+  const home = endpoints.find(({ peers }) => peers.homeOf(accountId) === undefined);
+  const asker = endpoints.find((endpoint) => endpoint !== home);
   if (home === undefined || asker === undefined) return;
   home.peers.serve(() => Promise.resolve(lent(10)));
   home.links.isSilent = true;
@@ -87,14 +89,14 @@
   await clock.advance(2_000);
   t.is(asker.peers.homeOf(accountId), home.id);
   t.deepEqual(await clock.runUntil(asker.peers.ask(home.id, question)), lent(10));
-  t.deepEqual(reach, [`${asker.id}-${home.id} false`, `${asker.id}-${home.id} true`]);
+  t.deepEqual(reachabilityChanges, [`${asker.id}-${home.id} false`, `${asker.id}-${home.id} true`]);
 });
 
-// The home has to ask a slow store before it can lend. Its peer must not take it for gone, and learns
-// of the loan by the next answer.
-test('a home that waits for the store answers in time', async (t) => {
-  const { clock, ends } = startScene('slow');
-  const [asker, home] = ends;
+// The home instance has to ask a slow store before it can lend tokens. The peer must not consider
+// it unreachable, and learns of the loan from the next reply.
+test('a home that waits for the store replies before the timeout', async (t) => {
+  const { clock, endpoints } = startNetwork('slow');
+  const [asker, home] = endpoints;
   if (asker === undefined || home === undefined) return;
   let total = 0;
   home.peers.serve(async ({ neededTokens }) => {
--- a/packages/forwarding/src/ForwardCodec/index.ts
+++ b/packages/forwarding/src/ForwardCodec/index.ts
@@ -8,35 +8,35 @@
 } from '../types.js';
 import type { StoredObject } from '@acaciacrank/store';
 
-/** Header names and values in turn, as they stood on the wire. */
+/** Header names and values alternately, as received. */
 export type RawHeaders = readonly string[];
 
-/** Turns a deployment's names into the project's types, and back. */
+/** Converts between the formats of a deployment and the types of this package. */
 export abstract class ForwardCodec {
-  /** Where the configuration lies in the store. */
+  /** The key of the configuration in the store. */
   abstract readonly configurationKey: string;
-  /** Where the upstreams' records lie in the store. */
+  /** The prefix of upstream records' keys in the store. */
   abstract readonly upstreamPrefix: string;
 
   /**
-   * Reads a configuration.
+   * Parses a configuration.
    *
-   * @throws RouterError `badDocument` naming what is wrong
+   * @throws RouterError `badDocument` that states what is wrong
    */
   abstract readConfiguration(stored: StoredObject): ForwardConfiguration;
 
-  /** Reads an upstream's record; undefined where it names no upstream to use. */
+  /** Parses an upstream record; returns undefined if it does not describe a usable upstream. */
   abstract readUpstream(stored: StoredObject): UpstreamRecord | undefined;
 
-  /** Reads the headers of a caller's request. */
+  /** Parses the headers of a caller's request. */
   abstract readCall(headers: IncomingHttpHeaders): CallHead;
 
-  /** Makes the headers that an upstream gets from those that the caller sent. */
+  /** Creates the headers to send to an upstream from the caller's headers. */
   abstract upstreamHeaders(callerHeaders: RawHeaders, fields: UpstreamFields): string[];
 
-  /** Reads the headers of an upstream's answer. */
+  /** Parses the headers of an upstream's response. */
   abstract readAnswer(status: number, headers: RawHeaders): AnswerHead;
 
-  /** Makes the headers that a caller gets from those that the upstream sent. */
+  /** Creates the headers to send to the caller from the upstream's headers. */
   abstract callerHeaders(upstreamHeaders: RawHeaders): string[];
 }
--- a/packages/forwarding/src/ForwardHandler/index.ts
+++ b/packages/forwarding/src/ForwardHandler/index.ts
@@ -13,12 +13,16 @@
 import type { PrepaidAccounts, ReserveOutcome } from '@acaciacrank/ledger';
 import type { RetryShare } from '@acaciacrank/routing';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { Dispatch, type DispatchParts } from '../_lib/Dispatch/index.js';
+import { Dispatch, type DispatchDependencies } from '../_lib/Dispatch/index.js';
 import { EngineModels } from '../_lib/EngineModels/index.js';
 import type { ForwardCall } from '../_lib/ForwardCall/index.js';
-import { callerStallLimitMs, heldBytesLimit, tokenWaitLimitMs } from '../_lib/limits/index.js';
-import { PartPlaces } from '../_lib/PartPlaces/index.js';
-import { RequestStory } from '../_lib/RequestStory/index.js';
+import {
+  callerStallTimeoutMs,
+  maxBufferedBytes,
+  tokenReserveTimeoutMs,
+} from '../_lib/limits/index.js';
+import { PromptPartLocations } from '../_lib/PartPlaces/index.js';
+import { RequestTrace } from '../_lib/RequestTrace/index.js';
 import type { ForwardCodec } from '../ForwardCodec/index.js';
 import type { RouteTable } from '../RouteTable/index.js';
 import type {
@@ -35,83 +39,96 @@
 export interface ForwardHandlerOptions {
   clock: Clock;
   codec: ForwardCodec;
-  /** The configuration in force; undefined while none is known. */
+  /** The current configuration; undefined until the first one is known. */
   routes: () => RouteTable | undefined;
   upstreams: UpstreamTable;
   tokens: PrepaidAccounts;
   retries: RetryShare;
   ownDomain: FailureDomainId;
-  /** Whether new requests are taken; an instance that leaves refuses them at its end. */
+  /** Whether new requests are accepted; false in the final phase of a shutdown. */
   isAccepting: () => boolean;
-  /** Whether connections end with their next answer. */
+  /** Whether connections are closed after their next response. */
   isLeaving: () => boolean;
   random: Random;
   log: Log;
   metrics: Metrics;
 }
 
-/** Body bound while no configuration is known, in bytes. */
-const unknownBodyBytes = 1_048_576;
-/** How long an instance counts as short of tokens after a refusal, in milliseconds: one directory answer. */
-const shortMs = 3_000;
-/** Callers read fractions of a second, so waits are rounded up to this, in milliseconds. */
+/** Maximum size of a request body before a configuration is known, in bytes. */
+const defaultMaxBodyBytes = 1_048_576;
+/**
+ * How long after a refusal the instance reports a shortage of tokens, in milliseconds: the
+ * lifetime of one directory response.
+ */
+const tokenShortageMs = 3_000;
+/**
+ * Retry delays are rounded up to a multiple of this, in milliseconds; callers accept fractions of a
+ * second.
+ */
 const retryAfterStepMs = 100;
 
-/** Serves callers' requests by forwarding them to upstreams. */
+/** Handles callers' requests by forwarding them to upstreams. */
 export class ForwardHandler {
   readonly #options: ForwardHandlerOptions;
-  readonly #bodies = new ByteBudget(heldBytesLimit);
-  readonly #parts: DispatchParts;
+  readonly #bodyBudget = new ByteBudget(maxBufferedBytes);
+  readonly #dispatchDependencies: DispatchDependencies;
   #underWay = 0;
-  #shortUntilMs = -Infinity;
+  #tokenShortageUntilMs = -Infinity;
 
   constructor(options: ForwardHandlerOptions) {
     this.#options = options;
     const models = new EngineModels((service, fit) => {
       options.log.info({ service, ...fit }, 'engines learnt');
     });
-    this.#parts = { ...options, parts: new PartPlaces(), models };
+    this.#dispatchDependencies = {
+      ...options,
+      promptPartLocations: new PromptPartLocations(),
+      models,
+    };
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests whose response is not complete. */
   get underWay(): number {
     return this.#underWay;
   }
 
   /**
-   * Whether requests were refused just now because the store could not be asked for tokens.
+   * Whether requests were recently refused because the store could not be asked for tokens.
    *
-   * Guards against callers that stay with an instance that is cut off and has used up its stock,
-   * while others can grant: it shows as refusals at one instance only.
+   * Guards against callers that stay with an instance that is partitioned from the store and has
+   * used up its tokens, while other instances can grant some: requests are refused at one instance
+   * only.
    */
   get isShortOfTokens(): boolean {
-    return this.#options.clock.monotonicMs() < this.#shortUntilMs;
+    return this.#options.clock.monotonicMs() < this.#tokenShortageUntilMs;
   }
 
-  /** Forgets what an upstream held: it has started again. */
-  forgetHeld(upstreamId: UpstreamId): void {
-    this.#parts.parts.forget(upstreamId);
+  /** Discards the assumed cache contents of an upstream after its restart. */
+  forgetCachedParts(upstreamId: UpstreamId): void {
+    this.#dispatchDependencies.promptPartLocations.removeEngine(upstreamId);
   }
 
-  /** Serves one request; its answer is complete, or visibly broken, when this returns. */
+  /**
+   * Handles one request. When this returns, the response is complete or its connection was closed.
+   */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const story = new RequestStory(this.#options.clock);
+    const trace = new RequestTrace(this.#options.clock);
     const head = this.#options.codec.readCall(request.headers);
-    const admission: Admission = { head, routeName: undefined, accountId: undefined };
+    const summary: RequestSummary = { head, routeName: undefined, accountId: undefined };
     this.#underWay += 1;
     if (this.#options.isLeaving()) response.shouldKeepAlive = false;
     let outcome = 'answered';
     try {
-      using held = this.#bodies.open();
-      const limit = this.#options.routes()?.configuration.limits.bodyBytes ?? unknownBodyBytes;
-      const body = await readBody(request, limit, held);
-      const call = this.#admit(request, response, body, story, admission);
+      using buffered = this.#bodyBudget.open();
+      const limit = this.#options.routes()?.configuration.limits.bodyBytes ?? defaultMaxBodyBytes;
+      const body = await readBody(request, limit, buffered);
+      const call = this.#admit(request, response, body, trace, summary);
       await this.#serve(call);
     } catch (thrown) {
-      outcome = this.#answerError(response, thrown, story);
+      outcome = this.#respondWithError(response, thrown, trace);
     } finally {
       this.#underWay -= 1;
-      this.#tell(response, story, admission, outcome);
+      this.#logRequest(response, trace, summary, outcome);
     }
   }
 
@@ -119,20 +136,21 @@
     request: IncomingMessage,
     response: ServerResponse,
     body: Buffer,
-    story: RequestStory,
-    admission: Admission,
+    trace: RequestTrace,
+    summary: RequestSummary,
   ): ForwardCall {
     const routes = this.#options.routes();
     if (routes === undefined) throw new RouterError('notReady', 'no configuration is known yet');
-    if (!this.#options.isAccepting()) throw new RouterError('instanceLeaving', 'the instance ends');
-    const { head } = admission;
+    if (!this.#options.isAccepting())
+      throw new RouterError('instanceLeaving', 'the instance is shutting down');
+    const { head } = summary;
     const route = routes.match(request.headers.host ?? '', request.url ?? '/');
     if (route === undefined) throw new RouterError('notFound', 'no route matches host and path');
-    admission.routeName = route.name;
+    summary.routeName = route.name;
     const account = accountFor(routes, route, head.key);
-    admission.accountId = account?.accountId;
+    summary.accountId = account?.accountId;
     const waitMs = Math.min(head.budgetMs ?? route.timeoutMs, route.timeoutMs);
-    story.add('admitted', { route: route.name, version: routes.configuration.version, waitMs });
+    trace.add('admitted', { route: route.name, version: routes.configuration.version, waitMs });
     return {
       request,
       response,
@@ -142,10 +160,10 @@
       service: this.#chooseService(routes, route),
       account,
       body,
-      deadlineMs: story.receivedMs + waitMs,
-      gone: goneSignal(response),
-      story,
-      progress: { mayHaveRun: false, sends: 0, events: 0, lastEventId: undefined },
+      deadlineMs: trace.receivedMs + waitMs,
+      gone: disconnectSignal(response),
+      story: trace,
+      progress: { mayHaveRun: false, sendCount: 0, events: 0, lastEventId: undefined },
     };
   }
 
@@ -154,7 +172,7 @@
     const onStall = () => {
       metrics.count('stalledCallers');
     };
-    return new CallerWriter(response, { clock, stallLimitMs: callerStallLimitMs, onStall });
+    return new CallerWriter(response, { clock, stallLimitMs: callerStallTimeoutMs, onStall });
   }
 
   #chooseService(routes: RouteTable, route: Route): ServiceTraits {
@@ -166,29 +184,29 @@
     const { tokens } = call.head;
     const { account } = call;
     if (tokens === undefined || account?.prepaidTokens === undefined) {
-      await new Dispatch(this.#parts, call).run();
+      await new Dispatch(this.#dispatchDependencies, call).run();
       return;
     }
-    const most = tokens.promptTokens + tokens.maxOutputTokens;
-    const reservation = { accountId: account.accountId, tokens: most };
-    await this.#reserve(call, account, most);
+    const maxTokens = tokens.promptTokens + tokens.maxOutputTokens;
+    const reservation = { accountId: account.accountId, tokens: maxTokens };
+    await this.#reserve(call, account, maxTokens);
     try {
-      await new Dispatch(this.#parts, call).run();
+      await new Dispatch(this.#dispatchDependencies, call).run();
     } finally {
-      const used = usedTokens(call, tokens);
-      this.#options.tokens.settle(reservation, used);
-      call.story.add('settled', { tokens: used, reservedTokens: most });
+      const usedTokenCount = usedTokens(call, tokens);
+      this.#options.tokens.settle(reservation, usedTokenCount);
+      call.story.add('settled', { tokens: usedTokenCount, reservedTokens: maxTokens });
     }
   }
 
   async #reserve(call: ForwardCall, account: ForwardAccount, tokens: number): Promise<void> {
     const { clock, tokens: ledger } = this.#options;
-    const leftMs = call.deadlineMs - clock.monotonicMs();
-    const limitMs = Math.min(tokenWaitLimitMs, leftMs);
-    let isGivenUp = false;
+    const remainingMs = call.deadlineMs - clock.monotonicMs();
+    const limitMs = Math.min(tokenReserveTimeoutMs, remainingMs);
+    let isAbandoned = false;
     const reserving = ledger.reserve(account.accountId, tokens).then((outcome) => {
-      // Tokens that come after the request was refused go straight back.
-      if (isGivenUp && outcome === 'reserved') {
+      // Tokens granted after the request was refused are returned immediately.
+      if (isAbandoned && outcome === 'reserved') {
         ledger.settle({ accountId: account.accountId, tokens }, 0);
       }
       return outcome;
@@ -200,7 +218,7 @@
         what: 'a grant of tokens',
       });
     } catch (thrown) {
-      isGivenUp = true;
+      isAbandoned = true;
       throw thrown;
     }
     call.story.add('tokens', {
@@ -208,18 +226,19 @@
       tokens,
       stockTokens: ledger.stockTokens(account.accountId),
     });
-    if (outcome === 'storeAway') this.#shortUntilMs = clock.monotonicMs() + shortMs;
+    if (outcome === 'storeAway') this.#tokenShortageUntilMs = clock.monotonicMs() + tokenShortageMs;
     if (outcome !== 'reserved') throw refusalFor(outcome, tokens);
   }
 
-  /** Answers an error where an answer can still be given; else ends the connection. */
-  #answerError(response: ServerResponse, thrown: unknown, story: RequestStory): string {
+  /** Sends an error response if no headers have been sent yet; otherwise closes the connection. */
+  #respondWithError(response: ServerResponse, thrown: unknown, trace: RequestTrace): string {
     const error = describeError(thrown);
-    story.add('failed', { kind: error.kind, ran: error.ran, why: error.message });
+    trace.add('failed', { kind: error.kind, ran: error.ran, why: error.message });
     if (response.destroyed || error.kind === 'cancelled') {
       response.destroy();
     } else if (response.headersSent) {
-      // A part is out already: only a broken connection shows that the rest will not come.
+      // Part of the response has been sent, so only closing the connection shows that it is
+      // incomplete.
       response.destroy();
     } else {
       writeError(response, error, this.#options.random, { retryAfterStepMs });
@@ -227,28 +246,28 @@
     return error.kind;
   }
 
-  #tell(
+  #logRequest(
     response: ServerResponse,
-    story: RequestStory,
-    admission: Admission,
+    trace: RequestTrace,
+    summary: RequestSummary,
     outcome: string,
   ): void {
     const { log, metrics } = this.#options;
-    const { head, routeName = '(none)', accountId = '(none)' } = admission;
-    const { elapsedMs } = story;
+    const { head, routeName = '(none)', accountId = '(none)' } = summary;
+    const { elapsedMs } = trace;
     metrics.count('requests', outcome);
     metrics.record('requestMs', `${accountId}/${routeName}`, elapsedMs);
     const status = response.headersSent ? response.statusCode : 0;
     const { requestId } = head;
     log.info(
-      { requestId, accountId, route: routeName, status, elapsedMs, outcome, steps: story.steps },
+      { requestId, accountId, route: routeName, status, elapsedMs, outcome, steps: trace.steps },
       'request',
     );
   }
 }
 
-/** What is known of a request for its log line, as far as it came. */
-interface Admission {
+/** What the log line needs to know about a request; undefined until known. */
+interface RequestSummary {
   readonly head: CallHead;
   routeName: string | undefined;
   accountId: string | undefined;
@@ -260,26 +279,29 @@
   key: string | undefined,
 ): ForwardAccount | undefined {
   if (routes.configuration.accounts === undefined) return undefined;
-  const account = key === undefined ? undefined : routes.accountOf(key);
+  const account = key === undefined ? undefined : routes.accountForKey(key);
   if (account !== undefined || route.isPublic) return account;
-  throw new RouterError('unauthenticated', 'no client account holds this key');
+  throw new RouterError('unauthenticated', 'no client account has this key');
 }
 
 function chooseTarget(targets: readonly RouteTarget[], random: Random): RouteTarget {
   const [first] = targets;
   if (first === undefined) throw new RouterError('notFound', 'the route has no service');
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let at = random() * total;
+  let remaining = random() * total;
   for (const target of targets) {
-    at -= target.weight;
-    if (at < 0) return target;
+    remaining -= target.weight;
+    if (remaining < 0) return target;
   }
   return first;
 }
 
-/** What a request used: its prompt once where it was sent, and each event that came at its full size. */
+/**
+ * Returns the tokens that a request used: its prompt if it was sent, and the full size of each
+ * event that arrived.
+ */
 function usedTokens({ progress, service }: ForwardCall, tokens: TokenDemand): number {
-  if (progress.sends === 0) return 0;
+  if (progress.sendCount === 0) return 0;
   if (progress.events === 0 && !progress.mayHaveRun) return 0;
   const perEvent = service.engine?.tokensPerEvent ?? 1;
   return tokens.promptTokens + Math.min(tokens.maxOutputTokens, progress.events * perEvent);
@@ -287,17 +309,20 @@
 
 function refusalFor(outcome: Exclude<ReserveOutcome, 'reserved'>, tokens: number): RouterError {
   if (outcome === 'exhausted') {
-    return new RouterError('budgetExhausted', `less than ${tokens} prepaid tokens are left`);
+    return new RouterError('budgetExhausted', `fewer than ${tokens} prepaid tokens are left`);
   }
   if (outcome === 'heldElsewhere') {
-    return new RouterError('tokensHeldElsewhere', `no ${tokens} tokens can be had at once`);
+    return new RouterError(
+      'tokensHeldElsewhere',
+      `${tokens} tokens are not available: other instances hold them`,
+    );
   }
-  // The instances lend each other what they have, so nothing is to be had before the store is back.
+  // Instances lend each other all tokens they have, so none are available until the store is back.
   return new RouterError('storeUnavailable', `the store did not grant ${tokens} tokens`);
 }
 
-/** Aborted when the connection closes before the answer is complete. */
-function goneSignal(response: ServerResponse): AbortSignal {
+/** Returns a signal that is aborted when the connection closes before the response is complete. */
+function disconnectSignal(response: ServerResponse): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) abort.abort();
--- a/packages/forwarding/src/ForwardingInstance/index.ts
+++ b/packages/forwarding/src/ForwardingInstance/index.ts
@@ -27,37 +27,37 @@
 import type { ForwardCodec } from '../ForwardCodec/index.js';
 import { ForwardHandler } from '../ForwardHandler/index.js';
 import { InstanceFleet, type CallerInstance } from '../InstanceFleet/index.js';
-import { chooseNamed } from '../_lib/chooseNamed/index.js';
-import { NamedInstances } from '../_lib/NamedInstances/index.js';
-import { planStop } from '../_lib/planStop/index.js';
+import { chooseDirectoryInstances } from '../_lib/chooseNamed/index.js';
+import { DirectoryLog } from '../_lib/DirectoryLog/index.js';
+import { planShutdown } from '../_lib/planStop/index.js';
 import { RouteTable } from '../RouteTable/index.js';
 import { UpstreamLimitSpread } from '../UpstreamLimitSpread/index.js';
 import { UpstreamSpread } from '../UpstreamSpread/index.js';
 import { UpstreamTable, type UpstreamChange } from '../UpstreamTable/index.js';
 
-/** Where a forwarding instance listens and what it may use. */
+/** Addresses and limits of a forwarding instance. */
 export interface ForwardingSettings {
   readonly instanceId: InstanceId;
   readonly failureDomain: FailureDomainId;
   readonly callers: { readonly ip: string; readonly port: number };
-  /** Where the links of the other instances arrive. */
+  /** Address that listens for connections from other instances. */
   readonly fleet: { readonly ip: string; readonly port: number };
-  /** Repeats that a service may receive from all instances together. */
+  /** Limit on the retries that a service may receive from all instances combined. */
   readonly repeats: {
     readonly perRequest: number;
     readonly free: number;
     readonly windowMs: number;
   };
-  /** How long a planned stop may take, in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly stopLimitMs: number;
-  /** How long callers keep the directory's answer at most, in milliseconds. */
+  /** Maximum time for which callers cache a directory response, in milliseconds. */
   readonly directoryKeepMs: number;
 }
 
 /** Options of {@link ForwardingInstance}. */
 export interface ForwardingInstanceOptions {
   settings: ForwardingSettings;
-  /** Drawn anew at each start of the process. */
+  /** A new random id at each start of the process. */
   runId: string;
   store: ObjectStore;
   codec: ForwardCodec;
@@ -67,55 +67,66 @@
   random?: Random;
 }
 
-/** Length of the key by which peers prove themselves, in bytes: that of the digest it goes into. */
+/**
+ * Length of the key that authenticates connections between instances, in bytes: the same as the
+ * digest computed from it.
+ */
 const linkKeyBytes = 32;
-/** Names the links of this path towards the product's other ones. */
+/**
+ * Distinguishes connections between forwarding instances from those of the product's other routers.
+ */
 const linkEnvironment = 'forwarding';
 /**
- * Pings, silence and opening of links, in milliseconds. A link that went silent for good holds up the
- * tokens of a client account until another is opened; peers are a few milliseconds away.
+ * Ping interval, inactivity timeout and connect timeout of connections between instances, in
+ * milliseconds. A dead connection delays the tokens of a client account until another one is open;
+ * peers are a few milliseconds away.
  */
-const linkTimes = { pingMs: 500, silenceMs: 1_500, connectMs: 1_000 };
+const linkTimings = { pingMs: 500, silenceMs: 1_500, connectMs: 1_000 };
 
 /**
- * How long changes of upstreams are gathered, in milliseconds: a small part of the two seconds in
- * which an upstream that leaves must get nothing more.
+ * How long changes of upstreams are collected before they are read, in milliseconds: a small part
+ * of the 2 s within which a leaving upstream must stop getting requests.
  */
-const gatherUpstreamsMs = 300;
+const upstreamBatchMs = 300;
 
-/** Time kept for closing what is open at the end of a planned stop, in milliseconds. */
-const lastStepsMs = 300;
-/** Time kept for the end of the process itself, in milliseconds. */
-const exitMs = 150;
+/**
+ * Time reserved for closing connections and servers at the end of a graceful shutdown, in
+ * milliseconds.
+ */
+const cleanupMarginMs = 300;
+/** Time reserved for the exit of the process itself, in milliseconds. */
+const exitMarginMs = 150;
 
 const storedObjectSchema = z.object({ key: z.string(), version: z.number(), value: z.unknown() });
 
-/** A part of an instance that works until it is disposed of. */
+/** A component that runs until it is disposed of. */
 type Runnable = (Disposable | AsyncDisposable) & { run(): Promise<void> };
 
-/** How often a planned stop looks whether it is done, in milliseconds. */
-const stopPollMs = 50;
+/**
+ * Interval at which a graceful shutdown checks whether all requests are complete, in milliseconds.
+ */
+const shutdownPollMs = 50;
 
 /**
- * One instance that forwards requests: its configuration, upstreams, tokens, registration and
- * callers' port, wired together.
+ * One instance that forwards requests. Creates and connects its components: configuration,
+ * upstreams, tokens, registration and the server for callers.
  */
 export class ForwardingInstance {
   readonly upstreams: UpstreamTable;
   readonly tokens: PrepaidAccounts;
   readonly fleet: InstanceFleet;
-  /** The configuration in force; undefined while none is known. */
+  /** The current configuration; undefined until the first one is known. */
   readonly routes = new StateStream<RouteTable | undefined>(undefined);
   readonly #options: Required<ForwardingInstanceOptions>;
-  readonly #cleanUp = new DisposableStore();
+  readonly #disposables = new DisposableStore();
   readonly #configurationFollower: ObjectFollower;
   readonly #handler: ForwardHandler;
   readonly #server: Server;
   readonly #links: WsFleetLinks;
   readonly #limitSpread: UpstreamLimitSpread;
-  readonly #named: NamedInstances;
+  readonly #directoryLog: DirectoryLog;
   readonly #linkKey = randomBytes(linkKeyBytes).toString('hex');
-  /** The object of the configuration in force, for peers that the store turns away. */
+  /** The stored object of the current configuration, for peers that cannot reach the store. */
   #storedConfiguration: StoredObject | undefined;
   #fleetPort: number | undefined;
   #phase: 'running' | 'leaving' | 'refusing' = 'running';
@@ -124,7 +135,7 @@
     this.#options = { random: Math.random, ...options };
     const { clock, store, settings, codec, log, metrics, random } = this.#options;
     const lifetime: Lifetime = { instanceId: settings.instanceId, runId: options.runId };
-    this.#named = new NamedInstances(log, metrics);
+    this.#directoryLog = new DirectoryLog(log, metrics);
     this.#links = this.#createLinks();
     this.fleet = this.#createFleet(lifetime);
     this.#configurationFollower = this.#followConfiguration();
@@ -134,7 +145,7 @@
       clock,
       random,
       table: this.upstreams,
-      peers: () => this.#answeringPeers,
+      peers: () => this.#livePeers,
     });
     const onEvent = (event: GrantEvent) => {
       metrics.count('grants', event.what);
@@ -142,8 +153,8 @@
     };
     const isStoreAway = () => this.#configurationFollower.isLost;
     const peers = this.#createPrepaidPeers();
-    const ledger = { lifetime, store, clock, random, peers, onEvent, isStoreAway };
-    this.tokens = new PrepaidAccounts(ledger);
+    const ledgerOptions = { lifetime, store, clock, random, peers, onEvent, isStoreAway };
+    this.tokens = new PrepaidAccounts(ledgerOptions);
     const retries = new RetryShare({
       clock,
       repeatsPerRequest: settings.repeats.perRequest,
@@ -171,7 +182,9 @@
     this.#server = createForwardServer({ handler: this.#handler, onBadRequest });
   }
 
-  /** Whether callers should come: a configuration is known and no stop was asked for. */
+  /**
+   * Whether callers should be sent here: a configuration is known and no shutdown was requested.
+   */
   get isReady(): boolean {
     return this.#phase === 'running' && this.routes.value !== undefined;
   }
@@ -182,33 +195,33 @@
     return typeof address === 'object' && address !== null ? address.port : undefined;
   }
 
-  /** The port on which links of other instances arrive; undefined before {@link start}. */
+  /** The port for connections from other instances; undefined before {@link start}. */
   get fleetPort(): number | undefined {
     return this.#fleetPort;
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests whose response is not complete. */
   get underWay(): number {
     return this.#handler.underWay;
   }
 
-  /** The instances that callers should use; none where they should ask another directory. */
+  /** Returns the instances that callers should use; empty if they should ask another directory. */
   callerInstances(): readonly CallerInstance[] {
     const { instanceId, failureDomain, callers } = this.#options.settings;
     const self = { instanceId, failureDomain, url: `http://${callers.ip}:${callers.port}` };
-    const named = chooseNamed<CallerInstance>({
+    const instances = chooseDirectoryInstances<CallerInstance>({
       self,
       isReady: this.isReady,
       isShortOfTokens: this.#handler.isShortOfTokens,
-      isStoreAway: this.#configurationFollower.isLost,
-      usable: this.fleet.usable,
+      isStoreUnavailable: this.#configurationFollower.isLost,
+      usablePeers: this.fleet.usable,
       peerCount: this.fleet.peerCount,
     });
-    this.#named.note(named.map((one) => one.instanceId));
-    return named;
+    this.#directoryLog.record(instances.map((one) => one.instanceId));
+    return instances;
   }
 
-  /** Begins to listen and to follow the store. */
+  /** Starts listening and following the store. */
   async start(): Promise<void> {
     const { callers, fleet } = this.#options.settings;
     const { ip, port } = callers;
@@ -217,26 +230,26 @@
       this.#server.once('error', reject);
       this.#server.listen({ host: ip, port, backlog: listenBacklog }, resolve);
     });
-    this.#cleanUp.add(this.#links);
+    this.#disposables.add(this.#links);
     const upstreams = this.#followUpstreams();
-    this.#runUntilStop('configuration', this.#configurationFollower);
-    this.#runUntilStop('upstreams', upstreams);
-    this.#runUntilStop('fleet', this.fleet);
-    this.#runUntilStop('upstreams of peers', this.#createUpstreamSpread(upstreams));
-    this.#runUntilStop('upstream limits', this.#limitSpread);
-    this.#runUntilStop('tokens', this.tokens);
+    this.#startTask('configuration', this.#configurationFollower);
+    this.#startTask('upstreams', upstreams);
+    this.#startTask('fleet', this.fleet);
+    this.#startTask('upstreams of peers', this.#createUpstreamSpread(upstreams));
+    this.#startTask('upstream limits', this.#limitSpread);
+    this.#startTask('tokens', this.tokens);
   }
 
   /**
-   * Leaves in steps: out of the directory first, then no new requests, then none at all.
+   * Shuts down in phases: leaves the directory, then refuses new requests, then ends.
    *
-   * Callers keep the directory's old answer for a while, so their requests are served until none can
-   * come by it; what comes later is refused as not run.
+   * Callers cache the directory response for a while, so their requests are served until no cached
+   * response lists this instance; later ones are refused with the statement that they were not run.
    */
   async stop(): Promise<void> {
     const { clock, log, settings } = this.#options;
     const startedMs = clock.monotonicMs();
-    const plan = planStop(settings.stopLimitMs, settings.directoryKeepMs);
+    const plan = planShutdown(settings.stopLimitMs, settings.directoryKeepMs);
     const endMs = startedMs + plan.endMs;
     const acceptUntilMs = startedMs + plan.acceptMs;
     this.#phase = 'leaving';
@@ -246,30 +259,37 @@
       const nowMs = clock.monotonicMs();
       if (nowMs >= acceptUntilMs) this.#phase = 'refusing';
       if (nowMs >= acceptUntilMs && this.underWay === 0) break;
-      await clock.sleep(stopPollMs);
+      await clock.sleep(shutdownPollMs);
     }
-    const limitMs = startedMs + settings.stopLimitMs;
-    const giveUp = () => Promise.allSettled([this.tokens.close(), this.fleet.end()]);
-    await this.#within(limitMs - lastStepsMs, 'giving stock back', giveUp);
+    const shutdownDeadlineMs = startedMs + settings.stopLimitMs;
+    const releaseTokensAndRegistration = () =>
+      Promise.allSettled([this.tokens.close(), this.fleet.end()]);
+    await this.#runShutdownStep(
+      shutdownDeadlineMs - cleanupMarginMs,
+      'returning tokens',
+      releaseTokensAndRegistration,
+    );
     this.#server.close();
     this.#server.closeIdleConnections();
-    await this.#within(limitMs - exitMs, 'closing', () => this.#cleanUp.dispose());
+    await this.#runShutdownStep(shutdownDeadlineMs - exitMarginMs, 'closing connections', () =>
+      this.#disposables.dispose(),
+    );
     log.info({ underWay: this.underWay }, 'stopped');
   }
 
   /**
-   * Does a last step of a planned stop, for as long as there is time.
+   * Runs one of the last steps of a graceful shutdown, with a deadline.
    *
-   * Guards against a store that does not answer the last writes, and against a peer whose connection
-   * hangs halfway: waited for, either would last until the process is killed, in the middle of
-   * whatever it does. It shows as a process that is still there when its time is over. Stock that is
-   * not given back counts as spent.
+   * Guards against a store that does not respond to the last writes, and against a peer whose
+   * connection hangs while it is closed: waiting for either would last until the process is killed
+   * at an arbitrary point, so that it is still running after its shutdown time. Tokens that are not
+   * returned count as spent.
    */
-  async #within(endMs: number, what: string, work: () => Promise<unknown>): Promise<void> {
+  async #runShutdownStep(endMs: number, what: string, work: () => Promise<unknown>): Promise<void> {
     const { clock, log } = this.#options;
-    const leftMs = Math.max(0, endMs - clock.monotonicMs());
+    const remainingMs = Math.max(0, endMs - clock.monotonicMs());
     try {
-      await withTimeout(clock, leftMs, work, { kind: 'deadlineExceeded', what });
+      await withTimeout(clock, remainingMs, work, { kind: 'deadlineExceeded', what });
     } catch (thrown) {
       log.warn({ error: describeError(thrown).message }, 'a planned stop was cut short');
     }
@@ -311,7 +331,7 @@
       onChange: (change) => {
         metrics.count('upstreamChanges', change.what);
         log.info(change, 'upstream');
-        if (change.what === 'startedAgain') this.#handler.forgetHeld(change.upstreamId);
+        if (change.what === 'startedAgain') this.#handler.forgetCachedParts(change.upstreamId);
         if (isLimitChange(change) && change.toldBy === undefined) this.#announceLimit(change);
       },
     });
@@ -322,7 +342,7 @@
     if (upstream !== undefined) this.#limitSpread.announce(upstream);
   }
 
-  get #answeringPeers(): readonly InstanceId[] {
+  get #livePeers(): readonly InstanceId[] {
     return this.fleet.answering.filter((id) => id !== this.#options.settings.instanceId);
   }
 
@@ -334,7 +354,7 @@
       keys: [this.#linkKey],
       keyOf: (peer: InstanceId) => this.fleet.keyOf(peer),
     };
-    return new WsFleetLinks({ ...identity, ...linkTimes, clock, random, metrics, log });
+    return new WsFleetLinks({ ...identity, ...linkTimings, clock, random, metrics, log });
   }
 
   #createPrepaidPeers(): FleetPrepaidPeers {
@@ -344,7 +364,7 @@
       clock,
       instanceId: settings.instanceId,
       live: () => this.fleet.answering,
-      onReach: (peer, isReached) => {
+      onReachabilityChange: (peer, isReached) => {
         metrics.count('peerReach', isReached ? 'regained' : 'lost');
         log.info({ peer, isReached }, isReached ? 'peer answers again' : 'peer does not answer');
       },
@@ -353,7 +373,7 @@
 
   #followConfiguration(): ObjectFollower {
     const { store, clock, codec, log, random } = this.#options;
-    const take = (stored: StoredObject | undefined) => {
+    const applyIfConfiguration = (stored: StoredObject | undefined) => {
       if (stored?.key === codec.configurationKey) this.#applyConfiguration(stored);
     };
     return new ObjectFollower({
@@ -361,13 +381,13 @@
       clock,
       random,
       prefix: codec.configurationKey.slice(0, codec.configurationKey.indexOf('/') + 1),
-      // Several large versions in one answer would delay the one that counts over a narrow link.
+      // Reading several large versions at once would delay the newest one on a slow network.
       isNewestEnough: true,
       onSnapshot: ({ objects }) => {
-        objects.forEach(take);
+        objects.forEach(applyIfConfiguration);
       },
       onChange: ({ object }) => {
-        take(object);
+        applyIfConfiguration(object);
       },
       onLost: (error) => {
         log.warn({ error: error.message }, 'store lost for the configuration');
@@ -378,7 +398,7 @@
     });
   }
 
-  /** Takes the object of a newer configuration that a peer has in force. */
+  /** Applies the stored object of a newer configuration from a peer. */
   #applyPeerConfiguration(offered: unknown): boolean {
     const parsed = storedObjectSchema.safeParse(offered);
     if (!parsed.success || parsed.data.key !== this.#options.codec.configurationKey) return false;
@@ -386,16 +406,16 @@
   }
 
   /**
-   * Puts a configuration in force; never an older one than was in force in this life.
+   * Applies a configuration, unless the current one of this process is the same or newer.
    *
-   * @returns whether it came into force
+   * @returns whether it was applied
    */
   #applyConfiguration(stored: StoredObject): boolean {
     const { codec, log, metrics } = this.#options;
     try {
       const configuration = codec.readConfiguration(stored);
-      const inForce = this.routes.value?.configuration.version;
-      if (inForce !== undefined && configuration.version <= inForce) return false;
+      const currentVersion = this.routes.value?.configuration.version;
+      if (currentVersion !== undefined && configuration.version <= currentVersion) return false;
       const table = new RouteTable(configuration);
       this.#storedConfiguration = stored;
       this.routes.set(table);
@@ -403,7 +423,7 @@
       this.tokens.setLimits(table.prepaidLimits(), configuration.version);
       applyCallerLimits(this.#server, configuration.limits);
       metrics.count('configurations', 'applied');
-      log.info({ version: configuration.version, was: inForce }, 'configuration in force');
+      log.info({ version: configuration.version, was: currentVersion }, 'configuration in force');
       return true;
     } catch (thrown) {
       metrics.count('configurations', 'refused');
@@ -428,7 +448,7 @@
       clock,
       random,
       prefix: codec.upstreamPrefix,
-      gatherMs: gatherUpstreamsMs,
+      gatherMs: upstreamBatchMs,
       onSnapshot: ({ objects }) => {
         this.upstreams.replaceAll(objects.map(read).filter((record) => record !== undefined));
       },
@@ -456,14 +476,17 @@
       random,
       table: this.upstreams,
       isStoreAway: () => follower.isLost,
-      peers: () => this.#answeringPeers,
+      peers: () => this.#livePeers,
     });
   }
 
-  /** A task that ends by an error is a defect; the process goes on and says so. */
-  #runUntilStop(task: string, part: Runnable): void {
-    this.#cleanUp.add(part);
-    part.run().catch((thrown: unknown) => {
+  /**
+   * Runs a background task. A task that fails is a defect: it is logged and the process keeps
+   * running.
+   */
+  #startTask(task: string, runnable: Runnable): void {
+    this.#disposables.add(runnable);
+    runnable.run().catch((thrown: unknown) => {
       const { metrics, log } = this.#options;
       metrics.count('failedTasks', task);
       log.error({ task, error: describeError(thrown).fullStack }, 'task failed');
--- a/packages/forwarding/src/InstanceFleet/index.ts
+++ b/packages/forwarding/src/InstanceFleet/index.ts
@@ -19,8 +19,8 @@
   type SpreadConfiguration,
 } from '@acaciacrank/fleet';
 import type { ObjectStore } from '@acaciacrank/store';
-import { LiveWatch } from '../_lib/LiveWatch/index.js';
-import { MemberLog } from '../_lib/MemberLog/index.js';
+import { LivePeerWatcher } from '../_lib/LivePeerWatcher/index.js';
+import { MembershipLog } from '../_lib/MembershipLog/index.js';
 
 /** Options of {@link InstanceFleet}. */
 export interface InstanceFleetOptions {
@@ -31,9 +31,9 @@
   random: Random;
   log: Log;
   metrics: Metrics;
-  /** The configuration in force here, which peers may ask for. */
+  /** The current configuration of this instance, which peers may request. */
   configuration: Omit<SpreadConfiguration, 'objectText'>;
-  /** Whether the store does not tell this instance of newer configurations, so that peers must. */
+  /** Whether this instance gets no new configurations from the store and needs them from peers. */
   isStoreAway: () => boolean;
   /** Called when a peer becomes live, initially, again or after a restart. */
   onPeerLive?: (peer: InstanceId) => void;
@@ -42,43 +42,46 @@
 /** An instance that callers may use. */
 export interface CallerInstance {
   readonly instanceId: InstanceId;
-  /** `http://IP:PORT` where callers connect. */
+  /** `http://IP:PORT` for callers. */
   readonly url: string;
   readonly failureDomain: FailureDomainId;
 }
 
 /**
- * How long an instance that nobody reaches has to answer before it is given up, in milliseconds. It
- * is noticed within 2 s, and callers keep the directory's answer for 2 s: together under 6 s.
+ * How long a suspected instance has to respond before it is considered failed, in milliseconds.
+ * Suspicion begins within 2 s of a failure and callers cache the directory response for 2 s, so
+ * callers use a failed instance for less than 6 s.
  */
 const suspicionMs = 2_000;
 
 /**
- * Age of the store's list above which an instance that reaches fewer than half of the others assumes
- * that they may have given it up, in milliseconds. Shorter than the time for which its last heartbeat
- * counts, by more than one heartbeat interval.
+ * Age of the store's list above which an instance that reaches fewer than half of the others
+ * assumes that they may consider it failed, in milliseconds. Shorter than the validity of its last
+ * heartbeat by more than one heartbeat interval.
  */
 const staleListMs = 7_000;
 
 /**
- * The instances of the fleet, as this one sees them.
+ * The instances of the fleet as seen by this one.
  *
- * The store tells who is registered, and the links tell who lives. Whom callers are sent to and who is
- * asked for tokens goes by the links alone, so that neither a store that is away nor one that turns
- * some instances away decides it. What is shared by number counts whoever may live by either.
+ * The store lists the registered instances; the connections between instances show which of them
+ * are live. Only the connections decide where callers are sent and which instances are asked for
+ * tokens, so that this works while the store is unavailable to all or some instances. Quantities
+ * that are divided by the number of instances count every instance that may be live according to
+ * either source.
  */
 export class InstanceFleet implements AsyncDisposable {
   readonly questions: FleetQuestions;
   readonly #options: InstanceFleetOptions;
   readonly #registrations: Registrations;
   readonly #membership: Membership;
-  readonly #owned = new DisposableStore();
+  readonly #disposables = new DisposableStore();
 
   constructor(options: InstanceFleetOptions) {
     this.#options = options;
     const { self, store, links, clock, random, log, metrics, configuration } = options;
-    this.questions = this.#owned.add(new FleetQuestions({ links, clock }));
-    this.#membership = this.#owned.add(
+    this.questions = this.#disposables.add(new FleetQuestions({ links, clock }));
+    this.#membership = this.#disposables.add(
       new Membership({
         clock,
         random,
@@ -91,7 +94,7 @@
         suspicionMs,
       }),
     );
-    this.#owned.add(
+    this.#disposables.add(
       new ConfigurationSpread({
         clock,
         links,
@@ -102,7 +105,7 @@
         isWanted: options.isStoreAway,
       }),
     );
-    this.#registrations = this.#owned.add(
+    this.#registrations = this.#disposables.add(
       new Registrations({
         store,
         clock,
@@ -118,19 +121,21 @@
     this.#logChanges();
   }
 
-  /** The other instances that callers may use: those that answer, or are only doubted so far. */
+  /**
+   * The other instances that callers may use: live ones, and suspected ones that were live before.
+   */
   get usable(): readonly CallerInstance[] {
     return this.#members
       .filter(({ state, wasLive }) => state === 'live' || (state === 'suspect' && wasLive))
       .map(({ id, url, failureDomain }) => ({ instanceId: id, url, failureDomain }));
   }
 
-  /** How many other instances are known that have not left, whether or not they answer. */
+  /** Number of other known instances that have not left, reachable or not. */
   get peerCount(): number {
     return this.#members.filter(({ state }) => state !== 'left').length;
   }
 
-  /** The instances that answer each other, this one included while it does not leave. */
+  /** The live instances, including this one unless it is leaving. */
   get answering(): readonly InstanceId[] {
     const others = this.#idsOf('live');
     const { id, state } = this.#membership.self;
@@ -138,11 +143,12 @@
   }
 
   /**
-   * How many instances share what is shared by number, this one included.
+   * Number of instances among which quantities are divided, including this one.
    *
-   * Guards against two sides of a cut that each take the whole: whoever is not reached is counted
-   * while its heartbeats in the store, or the lack of any news from there, leave open that it lives.
-   * Before the first list nobody knows how many there are.
+   * Guards against two sides of a network partition that each use the whole quantity: an
+   * unreachable instance is counted as long as its heartbeats in the store, or missing news from
+   * the store, mean that it may be live. Infinite before the first list, since the number of
+   * instances is not known.
    */
   get sharers(): number {
     if (this.listAgeMs === undefined) return Infinity;
@@ -150,11 +156,11 @@
   }
 
   /**
-   * The instances that share the rate limits of upstreams, including this one where it takes part.
+   * The instances that share the rate limits of upstreams, including this one if it takes part.
    *
-   * Guards against two sides of a partition that each use the whole limit, as {@link sharers} does. An
-   * instance does not take part while it is leaving, before it has read the list of instances, and
-   * while it is cut off from the store and from most others, since they may have given it up.
+   * Guards against two sides of a partition that each use the whole limit, as {@link sharers} does.
+   * An instance does not take part while it is leaving, before it has read the list of instances,
+   * and while it is cut off from the store and from most others, since they may consider it failed.
    */
   get rateSharers(): readonly InstanceId[] {
     const others = this.#othersExcept('left', 'leaving');
@@ -163,36 +169,41 @@
     return isLeaving || this.#mayBeIsolated(others.length) ? others : [id, ...others];
   }
 
-  /** How long ago the store's list was read, in milliseconds; undefined before it ever was. */
+  /**
+   * Time since the store's list was last read, in milliseconds; undefined before the first read.
+   */
   get listAgeMs(): number | undefined {
     return this.#registrations.listAgeMs;
   }
 
-  /** How many other instances are seen in each state. */
+  /** Number of other instances in each state. */
   get counts(): ReadonlyMap<Member['state'], number> {
     const counts = new Map<Member['state'], number>();
     for (const { state } of this.#members) counts.set(state, (counts.get(state) ?? 0) + 1);
     return counts;
   }
 
-  /** The key that proves this instance to a peer; undefined for one that is not registered. */
+  /**
+   * Returns the registered key with which this instance authenticates to a peer; undefined if the
+   * peer is not registered.
+   */
   keyOf(id: InstanceId): string | undefined {
     return this.#registrations.keyOf(id);
   }
 
-  /** Registers, and follows the others until disposed of. */
+  /** Registers this instance and follows the others until disposed of. */
   async run(): Promise<void> {
     const { callerAddress, fleetUrl } = this.#options.self;
     this.#membership.start({ url: `http://${callerAddress}`, fleetUrl });
     await this.#registrations.run();
   }
 
-  /** Tells the others that callers may be sent here. */
+  /** Announces to the others that this instance accepts callers. */
   serve(): void {
     this.#membership.serve();
   }
 
-  /** Tells the others that this instance takes no new callers soon. */
+  /** Announces to the others that this instance is leaving and will soon accept no new callers. */
   leave(): void {
     this.#membership.leave();
     this.#registrations.leave().catch((thrown: unknown) => {
@@ -201,17 +212,20 @@
     });
   }
 
-  /** Tells the others that this instance ends now, and takes its registration out of the store. */
+  /**
+   * Announces to the others that this instance ends now, and deletes its registration from the
+   * store.
+   */
   async end(): Promise<void> {
     this.#membership.end();
     await this.#registrations.remove();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.#owned.dispose();
+    await this.#disposables.dispose();
   }
 
-  /** Other instances that live or may live, except those in the given states. */
+  /** Returns the other instances that are or may be live, except those in the given states. */
   #othersExcept(...states: Member['state'][]): InstanceId[] {
     const excluded = new Set(this.#idsOf(...states));
     const reached = this.#idsOf('starting', 'live', 'suspect', 'leaving');
@@ -219,7 +233,7 @@
     return [...others].filter((id) => !excluded.has(id));
   }
 
-  /** Whether the others may have given this instance up, or are not known yet. */
+  /** Whether the others may consider this instance failed, or are not known yet. */
   #mayBeIsolated(otherCount: number): boolean {
     const { listAgeMs } = this;
     if (listAgeMs === undefined) return true;
@@ -236,17 +250,17 @@
 
   #logChanges(): void {
     const { log, metrics, onPeerLive = () => undefined } = this.#options;
-    const memberLog = new MemberLog({ log, metrics, listAgeMs: () => this.listAgeMs });
-    const liveWatch = new LiveWatch(onPeerLive);
-    const following = this.#membership.members.follow(
+    const membershipLog = new MembershipLog({ log, metrics, listAgeMs: () => this.listAgeMs });
+    const livePeerWatcher = new LivePeerWatcher(onPeerLive);
+    const subscription = this.#membership.members.follow(
       (members) => {
-        memberLog.note(members);
-        liveWatch.note(members);
+        membershipLog.update(members);
+        livePeerWatcher.update(members);
       },
       (error) => {
         log.error({ err: error }, 'member stream failed');
       },
     );
-    this.#owned.add(following);
+    this.#disposables.add(subscription);
   }
 }
--- a/packages/forwarding/src/RouteTable/index.ts
+++ b/packages/forwarding/src/RouteTable/index.ts
@@ -1,7 +1,7 @@
 import type { AccountId, ServiceName } from '@acaciacrank/base';
 import type { ForwardAccount, ForwardConfiguration, Route, ServiceTraits } from '../types.js';
 
-/** One configuration, indexed for requests. */
+/** One version of the configuration, indexed for lookups by request. */
 export class RouteTable {
   readonly configuration: ForwardConfiguration;
   readonly #byHost = new Map<string, Map<string, Route>>();
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Finds the route with the longest prefix that begins the path.
+   * Finds the route with the longest prefix that matches the path.
    *
    * @param host - the `Host` header, with or without a port
    * @param path - path and query
-   * @returns the route; undefined where none matches
+   * @returns the route; undefined if none matches
    *
    * @example
    * table.match('shop.example', '/a/b/c?x=1')?.pathPrefix;
@@ -38,27 +38,27 @@
     const routes = this.#byHost.get(name) ?? this.#byHost.get(name.replace(/:\d+$/, ''));
     if (routes === undefined) return undefined;
     const queryAt = path.search(/[?#]/);
-    const bare = queryAt < 0 ? path : path.slice(0, queryAt);
-    // Prefixes end in a slash, so only the path's own slashes can end one.
-    for (let end = bare.lastIndexOf('/'); end >= 0; end = bare.lastIndexOf('/', end - 1)) {
-      const route = routes.get(bare.slice(0, end + 1));
+    const pathname = queryAt < 0 ? path : path.slice(0, queryAt);
+    // Prefixes end with a slash, so a prefix can only end at a slash of the path.
+    for (let end = pathname.lastIndexOf('/'); end >= 0; end = pathname.lastIndexOf('/', end - 1)) {
+      const route = routes.get(pathname.slice(0, end + 1));
       if (route !== undefined) return route;
       if (end === 0) break;
     }
     return undefined;
   }
 
-  /** The account that holds a key; undefined where none does. */
-  accountOf(key: string): ForwardAccount | undefined {
+  /** Returns the account that an API key belongs to; undefined if there is none. */
+  accountForKey(key: string): ForwardAccount | undefined {
     return this.#byKey.get(key);
   }
 
-  /** A service's traits; undefined where the configuration does not name it. */
+  /** Returns the properties of a service; undefined if it is not configured. */
   service(name: ServiceName): ServiceTraits | undefined {
     return this.#services.get(name);
   }
 
-  /** What each account has prepaid, for accounts with a limit. */
+  /** Returns the prepaid tokens of each account that has a limit. */
   prepaidLimits(): Map<AccountId, number> {
     const limits = new Map<AccountId, number>();
     for (const { accountId, prepaidTokens } of this.configuration.accounts ?? []) {
--- a/packages/forwarding/src/RouteTable/test.ts
+++ b/packages/forwarding/src/RouteTable/test.ts
@@ -32,21 +32,21 @@
 };
 const table = new RouteTable(configuration);
 
-test('the longest prefix that begins the path wins', (t) => {
+test('the longest matching prefix wins', (t) => {
   t.is(table.match('shop.example', '/a/x')?.name, '/a/');
   t.is(table.match('shop.example', '/a/b/x?y=/c/')?.name, '/a/b/');
   t.is(table.match('shop.example:8080', '/c/')?.name, '/c/');
 });
 
-test('a prefix ends with a whole segment, and hosts are apart', (t) => {
+test('a prefix matches whole segments of its own host only', (t) => {
   t.is(table.match('shop.example', '/ab/x'), undefined);
   t.is(table.match('shop.example', '/x?y=/a/'), undefined);
   t.is(table.match('other.example', '/a/x'), undefined);
   t.is(table.match('shop.example', '*'), undefined);
 });
 
-test('keys lead to their account, and limits to accounts that have one', (t) => {
-  t.is(table.accountOf('k2')?.accountId, 'one' as AccountId);
-  t.is(table.accountOf('k4'), undefined);
+test('accounts are found by key, and limits are listed for accounts that have one', (t) => {
+  t.is(table.accountForKey('k2')?.accountId, 'one' as AccountId);
+  t.is(table.accountForKey('k4'), undefined);
   t.deepEqual([...table.prepaidLimits()], [['one' as AccountId, 7]]);
 });
--- a/packages/forwarding/src/UpstreamLimitSpread/index.ts
+++ b/packages/forwarding/src/UpstreamLimitSpread/index.ts
@@ -9,27 +9,27 @@
   clock: Clock;
   random: Random;
   table: UpstreamTable;
-  /** The other instances that answer. */
+  /** The other live instances. */
   peers: () => readonly InstanceId[];
 }
 
 type LimitEntries = FleetMessageOf<'upstreamLimits'>['limits'];
 
 /** Interval at which all limits are sent to one peer, in milliseconds, since messages may be lost. */
-const resendEveryMs = 1_000;
+const resendIntervalMs = 1_000;
 /** For how long the removal of a limit is sent to peers, in milliseconds. */
-const resendRemovalMs = 10_000;
+const removalResendMs = 10_000;
 /** Changes within this time are sent in one message, in milliseconds. */
 const batchMs = 20;
 /** Limits in one message at most. */
 const maxLimits = 512;
 
 /**
- * Sends the rate limits in upstreams' answers to peers: changes to all of them, and all limits to each
+ * Sends the rate limits in upstreams' responses to peers: changes to all of them, and all limits to each
  * peer that becomes live and to one random peer at a time.
  *
  * Guards against an instance that does not learn of a new limit, or of the end of one, because it
- * receives no answers from the upstream itself. Limits known only from a peer are not passed on, and
+ * receives no responses from the upstream itself. Limits known only from a peer are not passed on, and
  * each limit is sent with its age, so that it does not replace a newer one.
  */
 export class UpstreamLimitSpread implements Disposable {
@@ -46,7 +46,7 @@
     });
   }
 
-  /** Sends a limit that an answer has just changed to all peers. */
+  /** Sends a limit that a response has just changed to all peers. */
   announce(upstream: Upstream): void {
     this.#changed.add(upstream);
     this.#pendingBatch ??= this.#options.clock.schedule(batchMs, () => {
@@ -66,7 +66,7 @@
   async run(): Promise<void> {
     const { clock, random, peers } = this.#options;
     while (!this.#stop.signal.aborted) {
-      await clock.sleep(resendEveryMs, this.#stop.signal);
+      await clock.sleep(resendIntervalMs, this.#stop.signal);
       const candidates = peers();
       const peer = candidates[Math.floor(random() * candidates.length)];
       if (peer !== undefined && !this.#stop.signal.aborted) this.sendAllTo(peer);
@@ -90,7 +90,7 @@
       if (stated === undefined) return [];
       const { requestsPerSecond, sentMs, receivedMs } = stated;
       const isRemoved = requestsPerSecond === Infinity;
-      if (isRemoved && nowMs - limit.changedMs > resendRemovalMs) return [];
+      if (isRemoved && nowMs - limit.changedMs > removalResendMs) return [];
       return {
         upstreamId: record.id,
         startedAtMs: record.startedAtMs,
--- a/packages/forwarding/src/UpstreamSpread/index.ts
+++ b/packages/forwarding/src/UpstreamSpread/index.ts
@@ -8,61 +8,61 @@
   clock: Clock;
   random: Random;
   table: UpstreamTable;
-  /** Whether the store does not tell this instance of upstreams now. */
+  /** Whether this instance currently gets no updates about upstreams from the store. */
   isStoreAway: () => boolean;
-  /** Whom to ask. */
+  /** The peers that may be asked. */
   peers: () => readonly InstanceId[];
 }
 
-/** How often a peer is asked while the store is away here, in milliseconds. */
-const askEveryMs = 1_000;
+/** Interval at which a peer is asked while the store is unavailable here, in milliseconds. */
+const askIntervalMs = 1_000;
 
 /**
- * What the store tells peers of upstreams, for an instance that it turns away.
+ * Exchanges upstream records between instances, for an instance that cannot reach the store.
  *
- * Guards against going on with upstreams that have long said that they leave: it shows as refused
- * connections and answers that never come, at one instance only. A peer that the store does not
- * answer either says so and tells nothing.
+ * Guards against an instance that keeps using upstreams which announced long ago that they are
+ * leaving: connections are refused and responses never arrive, at this one instance only. A peer
+ * that cannot reach the store either says so and sends no records.
  */
 export class UpstreamSpread implements Disposable {
   readonly #options: UpstreamSpreadOptions;
-  readonly #answering: Disposable;
+  readonly #subscription: Disposable;
   readonly #stop = new AbortController();
 
   constructor(options: UpstreamSpreadOptions) {
     this.#options = options;
     const { questions, table, isStoreAway } = options;
-    this.#answering = questions.answer('upstreams', () => {
+    this.#subscription = questions.answer('upstreams', () => {
       const isCurrent = !isStoreAway();
       const records = isCurrent ? table.all().map(({ record }) => record) : [];
       return { kind: 'upstreams', isCurrent, records };
     });
   }
 
-  /** Asks peers while the store is away, until disposed of. */
+  /** Asks a random peer at each interval while the store is unavailable, until disposed of. */
   async run(): Promise<void> {
     const { clock, isStoreAway } = this.#options;
     while (!this.#stop.signal.aborted) {
-      await clock.sleep(askEveryMs, this.#stop.signal);
-      if (isStoreAway() && !this.#stop.signal.aborted) await this.#ask();
+      await clock.sleep(askIntervalMs, this.#stop.signal);
+      if (isStoreAway() && !this.#stop.signal.aborted) await this.#askPeer();
     }
   }
 
   [Symbol.dispose](): void {
     this.#stop.abort();
-    this.#answering[Symbol.dispose]();
+    this.#subscription[Symbol.dispose]();
   }
 
-  async #ask(): Promise<void> {
+  async #askPeer(): Promise<void> {
     const { questions, random, table, isStoreAway, peers } = this.#options;
     const candidates = peers();
     const peer = candidates[Math.floor(random() * candidates.length)];
     if (peer === undefined) return;
     try {
       const { isCurrent, records } = await questions.ask(peer, { kind: 'upstreams' });
-      if (isCurrent && isStoreAway()) table.hearFromPeer(records);
+      if (isCurrent && isStoreAway()) table.mergeFromPeer(records);
     } catch {
-      // Another one is asked soon.
+      // A random peer is asked again at the next interval.
     }
   }
 }
--- a/packages/forwarding/src/UpstreamTable/index.ts
+++ b/packages/forwarding/src/UpstreamTable/index.ts
@@ -1,20 +1,21 @@
 import type { Clock, InstanceId, ServiceName, UpstreamId } from '@acaciacrank/base';
 import { Upstream } from '../_lib/Upstream/index.js';
-import { lapsedGraceMs } from '../_lib/limits/index.js';
+import { expiredRecordGraceMs } from '../_lib/limits/index.js';
 import { unshared, type LimitChange, type LimitSharing } from '../_lib/UpstreamLimit/index.js';
 import type { UpstreamRecord } from '../types.js';
 
-/** A change of what this instance believes of an upstream. */
+/** A change in this instance's view of an upstream. */
 export interface UpstreamChange {
   readonly upstreamId: UpstreamId;
   readonly service: ServiceName;
+  /** `lapsed`: its record expired; `leftOut`: it was ejected. */
   readonly what: 'seen' | 'startedAgain' | 'leaving' | 'lapsed' | 'gone' | 'leftOut' | LimitChange;
   /**
    * Requests per second that the upstream accepts from all instances combined; undefined if it sets
    * no limit and for changes other than {@link LimitChange}.
    */
   readonly limitPerS?: number | undefined;
-  /** The peer that reported the limit; undefined if this instance read it in an answer. */
+  /** The peer that reported the limit; undefined if this instance read it in a response. */
   readonly toldBy?: InstanceId | undefined;
 }
 
@@ -29,7 +30,7 @@
    * unlimited by default.
    */
   maxConnections?: (service: ServiceName) => number;
-  /** How many instances share connections, this one included; 1 by default. */
+  /** Number of instances that share connections, including this one; 1 by default. */
   instanceCount?: () => number;
 }
 
@@ -37,55 +38,57 @@
 const instanceCountTtlMs = 250;
 
 /**
- * The upstreams that may be used, as the store lists them.
+ * The usable upstreams, from their records in the store.
  *
- * Records lapse while the store is away, since upstreams cannot renew them. A record that vanishes
- * then, or just after, stays usable until the store has been back for {@link lapsedGraceMs}; one
- * that is still missing by then is gone.
+ * Records expire while the store is unavailable, since upstreams cannot renew them. A record that
+ * disappears during that time, or shortly after, stays usable for {@link expiredRecordGraceMs}
+ * after the store is available again. If it is still missing then, the upstream is removed.
  */
 export class UpstreamTable {
   readonly #options: UpstreamTableOptions;
   readonly #byId = new Map<UpstreamId, Upstream>();
   readonly #byService = new Map<ServiceName, Upstream[]>();
-  /** Upstreams whose records vanished, with the end of their grace once that has begun. */
-  readonly #lapsed = new Map<UpstreamId, Disposable | undefined>();
+  /**
+   * Upstreams whose records disappeared, with the timer of their grace period once it has started.
+   */
+  readonly #expired = new Map<UpstreamId, Disposable | undefined>();
   /** Number of instances that share connections, and when it was determined. */
   #instanceCount = { value: 1, atMs: -Infinity };
-  #isStoreLost = false;
-  #regainedMs = -Infinity;
+  #isStoreUnavailable = false;
+  #storeRegainedMs = -Infinity;
 
   constructor(options: UpstreamTableOptions) {
     this.#options = options;
   }
 
-  /** Upstreams of a service that may get new requests. */
+  /** Upstreams of a service that accept new requests. */
   usable(service: ServiceName): readonly Upstream[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** One upstream; undefined when it is not known. */
+  /** Returns one upstream; undefined if it is not known. */
   get(id: UpstreamId): Upstream | undefined {
     return this.#byId.get(id);
   }
 
-  /** All upstreams, for metrics. */
+  /** Returns all upstreams, including those that are leaving. */
   all(): readonly Upstream[] {
     return [...this.#byId.values()];
   }
 
-  /** Notes that the store stopped answering. */
+  /** Records that the store stopped responding. */
   loseStore(): void {
-    this.#isStoreLost = true;
+    this.#isStoreUnavailable = true;
   }
 
-  /** Notes that the store answers again; what lapsed has a little time to come back. */
+  /** Records that the store responds again, and starts the grace period of expired records. */
   regainStore(): void {
-    this.#isStoreLost = false;
-    this.#regainedMs = this.#options.clock.monotonicMs();
-    for (const id of [...this.#lapsed.keys()]) this.#beginGrace(id);
+    this.#isStoreUnavailable = false;
+    this.#storeRegainedMs = this.#options.clock.monotonicMs();
+    for (const id of [...this.#expired.keys()]) this.#startGracePeriod(id);
   }
 
-  /** Takes over the whole list. */
+  /** Applies the complete list of records. */
   replaceAll(records: readonly UpstreamRecord[]): void {
     const listed = new Set(records.map(({ id }) => id));
     for (const id of [...this.#byId.keys()]) if (!listed.has(id)) this.remove(id);
@@ -93,66 +96,66 @@
   }
 
   /**
-   * Takes over what a peer was told by the store, while the store does not tell this instance. What
-   * was known to be leaving stays so, since the peer's view may be the older one; what the peer does
-   * not name may have lapsed.
+   * Applies the records that a peer got from the store, while this instance gets none. An upstream
+   * known to be leaving stays leaving, since the peer's view may be older. Upstreams missing from
+   * the peer's list are kept, since their records may only have expired.
    */
-  hearFromPeer(records: readonly UpstreamRecord[]): void {
+  mergeFromPeer(records: readonly UpstreamRecord[]): void {
     for (const record of records) {
       const known = this.#byId.get(record.id);
-      const isLeaving = known?.isLeaving === true && !isAnotherRun(known.record, record);
+      const isLeaving = known?.isLeaving === true && !isDifferentRun(known.record, record);
       if (!isLeaving) this.put(record);
     }
   }
 
-  /** Takes over one record. */
+  /** Adds or updates one record. */
   put(record: UpstreamRecord): void {
-    this.#lapsed.get(record.id)?.[Symbol.dispose]();
-    this.#lapsed.delete(record.id);
+    this.#expired.get(record.id)?.[Symbol.dispose]();
+    this.#expired.delete(record.id);
     const known = this.#byId.get(record.id);
-    if (known === undefined || isAnotherRun(known.record, record)) {
-      if (known !== undefined) this.#drop(known);
+    if (known === undefined || isDifferentRun(known.record, record)) {
+      if (known !== undefined) this.#closeUpstream(known);
       this.#byId.set(record.id, this.#createUpstream(record));
-      if (known !== undefined) this.#tell(record, 'startedAgain');
-      this.#tell(record, record.state === 'leaving' ? 'leaving' : 'seen');
+      if (known !== undefined) this.#report(record, 'startedAgain');
+      this.#report(record, record.state === 'leaving' ? 'leaving' : 'seen');
     } else {
-      const isNews = !known.isLeaving && record.state === 'leaving';
+      const isNewlyLeaving = !known.isLeaving && record.state === 'leaving';
       known.record = record;
       known.isLeaving = record.state === 'leaving';
-      if (isNews) this.#tell(record, 'leaving');
+      if (isNewlyLeaving) this.#report(record, 'leaving');
     }
-    this.#index();
+    this.#rebuildServiceIndex();
   }
 
-  /** Notes that a record vanished from the store. */
+  /** Handles the disappearance of a record from the store. */
   remove(id: UpstreamId): void {
     const upstream = this.#byId.get(id);
-    if (upstream === undefined || this.#lapsed.has(id)) return;
-    const sinceRegainedMs = this.#options.clock.monotonicMs() - this.#regainedMs;
-    if (!this.#isStoreLost && sinceRegainedMs >= lapsedGraceMs) {
-      this.#forget(upstream);
+    if (upstream === undefined || this.#expired.has(id)) return;
+    const sinceRegainedMs = this.#options.clock.monotonicMs() - this.#storeRegainedMs;
+    if (!this.#isStoreUnavailable && sinceRegainedMs >= expiredRecordGraceMs) {
+      this.#removeUpstream(upstream);
       return;
     }
-    this.#tell(upstream.record, 'lapsed');
-    this.#lapsed.set(id, undefined);
-    if (!this.#isStoreLost) this.#beginGrace(id);
+    this.#report(upstream.record, 'lapsed');
+    this.#expired.set(id, undefined);
+    if (!this.#isStoreUnavailable) this.#startGracePeriod(id);
   }
 
-  /** Notes that another upstream answers at this one's address. */
-  forgetWrong(upstream: Upstream): void {
-    if (this.#byId.get(upstream.id) === upstream) this.#forget(upstream);
+  /** Removes an upstream because a different upstream responds at its address. */
+  removeMismatched(upstream: Upstream): void {
+    if (this.#byId.get(upstream.id) === upstream) this.#removeUpstream(upstream);
   }
 
-  /** Tells that an upstream is left out by what was seen of it. */
-  tellLeftOut(upstream: Upstream): void {
-    this.#tell(upstream.record, 'leftOut');
+  /** Reports that an upstream was ejected. */
+  reportEjected(upstream: Upstream): void {
+    this.#report(upstream.record, 'leftOut');
   }
 
   /** Reports a change of an upstream's rate limit. */
   tellLimitChange({ record, limit }: Upstream, what: LimitChange, toldBy?: InstanceId): void {
     const { requestsPerSecond } = limit;
     const limitPerS = requestsPerSecond === Infinity ? undefined : requestsPerSecond;
-    this.#tell(record, what, { limitPerS, toldBy });
+    this.#report(record, what, { limitPerS, toldBy });
   }
 
   #createUpstream(record: UpstreamRecord): Upstream {
@@ -177,33 +180,33 @@
     return Math.max(1, Math.floor(maxConnections(service) / value));
   }
 
-  #beginGrace(id: UpstreamId): void {
+  #startGracePeriod(id: UpstreamId): void {
     const { clock } = this.#options;
-    this.#lapsed.get(id)?.[Symbol.dispose]();
-    const leftMs = this.#regainedMs + lapsedGraceMs - clock.monotonicMs();
-    const timer = clock.schedule(leftMs, () => {
-      this.#lapsed.delete(id);
+    this.#expired.get(id)?.[Symbol.dispose]();
+    const remainingMs = this.#storeRegainedMs + expiredRecordGraceMs - clock.monotonicMs();
+    const timer = clock.schedule(remainingMs, () => {
+      this.#expired.delete(id);
       const upstream = this.#byId.get(id);
-      if (upstream !== undefined) this.#forget(upstream);
+      if (upstream !== undefined) this.#removeUpstream(upstream);
     });
-    this.#lapsed.set(id, timer);
+    this.#expired.set(id, timer);
   }
 
-  #forget(upstream: Upstream): void {
-    this.#drop(upstream);
-    this.#tell(upstream.record, 'gone');
-    this.#index();
+  #removeUpstream(upstream: Upstream): void {
+    this.#closeUpstream(upstream);
+    this.#report(upstream.record, 'gone');
+    this.#rebuildServiceIndex();
   }
 
-  #drop(upstream: Upstream): void {
+  #closeUpstream(upstream: Upstream): void {
     upstream.isLeaving = true;
     this.#byId.delete(upstream.id);
     upstream[Symbol.asyncDispose]().catch(() => {
-      // Its connections end with it.
+      // A failure to close is ignored: the connections are discarded with the upstream.
     });
   }
 
-  #index(): void {
+  #rebuildServiceIndex(): void {
     this.#byService.clear();
     for (const upstream of this.#byId.values()) {
       if (upstream.isLeaving) continue;
@@ -213,7 +216,7 @@
     }
   }
 
-  #tell(
+  #report(
     { id: upstreamId, service }: UpstreamRecord,
     what: UpstreamChange['what'],
     limit: Pick<UpstreamChange, 'limitPerS' | 'toldBy'> = {},
@@ -223,15 +226,19 @@
 }
 
 /**
- * Whether a record tells of another run than the known one. An id is one run of an upstream, but some
- * start again under the id that they had, and then hold and know nothing of before.
+ * Whether a record describes a different run of the upstream than the known record. Ids normally
+ * identify a single run, but some upstreams restart under the same id, with no cache and no state
+ * from before.
  */
-function isAnotherRun(known: UpstreamRecord, record: UpstreamRecord): boolean {
+function isDifferentRun(known: UpstreamRecord, record: UpstreamRecord): boolean {
   const isElsewhere = known.ip !== record.ip || known.port !== record.port;
   return isElsewhere || known.service !== record.service || !isSameStart(known, record);
 }
 
-/** A start that is not told may be any; one that lies before the known one may be a clock set back. */
+/**
+ * Whether two records can have the same start time. A missing time matches any; an earlier time
+ * than the known one does not match, since the clock may have been set back before a restart.
+ */
 function isSameStart(known: UpstreamRecord, record: UpstreamRecord): boolean {
   const { startedAtMs } = record;
   if (known.startedAtMs === undefined || startedAtMs === undefined) return true;
--- a/packages/forwarding/src/UpstreamTable/test.ts
+++ b/packages/forwarding/src/UpstreamTable/test.ts
@@ -21,31 +21,33 @@
   startedAtMs: 1_000,
 };
 
-function open() {
+function createTable() {
   const clock = new ManualClock();
   const changes: string[] = [];
   const table = new UpstreamTable({ clock, onChange: ({ what }) => changes.push(what) });
   return { clock, changes, table };
 }
 
-// Guards against what was believed of a former run: work under way, failures, parts of prompts.
-test('an upstream that starts again under its id and address begins anew', (t) => {
-  const { table, changes } = open();
+// Guards against applying the state of the previous run: requests in progress, failures, cached
+// prompt parts.
+test('an upstream that restarts with the same id and address starts with fresh state', (t) => {
+  const { table, changes } = createTable();
   table.put(record);
-  const former = table.get(id);
-  former?.begin(undefined);
-  former?.leaveOut();
+  const previous = table.get(id);
+  previous?.begin(undefined);
+  previous?.eject();
   table.put({ ...record, startedAtMs: 2_000 });
   const [upstream] = table.usable(service);
-  t.not(upstream, former);
+  t.not(upstream, previous);
   t.is(upstream?.running, 0);
-  t.false(upstream?.isLeftOut(0));
+  t.false(upstream?.isEjected(0));
   t.deepEqual(changes, ['seen', 'startedAgain', 'seen']);
 });
 
-// Guards against an upstream that is never used again since its clock was set back over a restart.
-test('an upstream that starts again with its clock set back is used', (t) => {
-  const { table, changes } = open();
+// Guards against an upstream that is never used again because its clock was set back before the
+// restart.
+test('an upstream that restarts with its clock set back is used', (t) => {
+  const { table, changes } = createTable();
   table.put(record);
   table.put({ ...record, state: 'leaving' });
   table.put({ ...record, startedAtMs: 500 });
@@ -53,9 +55,9 @@
   t.deepEqual(changes, ['seen', 'leaving', 'startedAgain', 'seen']);
 });
 
-// Guards against connections that are thrown away at each heartbeat of an upstream.
-test('the same run keeps what is known of it', (t) => {
-  const { table } = open();
+// Guards against closing all connections to an upstream at each of its heartbeats.
+test('an update from the same run keeps the state', (t) => {
+  const { table } = createTable();
   table.put({ ...record, startedAtMs: undefined });
   const known = table.get(id);
   table.put({ ...record, slots: 8 });
@@ -64,9 +66,9 @@
   t.is(known?.record.slots, 9);
 });
 
-// Guards against having no upstream at all after an outage in which none could renew its record.
-test('a record that vanishes while the store is away stays usable until it has been back', async (t) => {
-  const { clock, table } = open();
+// Guards against having no upstream left after an outage in which none could renew its record.
+test('a record that expires during a store outage stays usable until the end of the grace period', async (t) => {
+  const { clock, table } = createTable();
   table.put(record);
   table.loseStore();
   table.remove(id);
@@ -79,14 +81,15 @@
   t.is(table.usable(service).length, 0);
 });
 
-// Guards against an instance that the store turns away and that goes on with upstreams that leave.
-test('a peer tells of upstreams that leave or are new, and brings none back that left', (t) => {
-  const { table, changes } = open();
+// Guards against an instance that cannot reach the store and keeps using upstreams that are
+// leaving.
+test('records from a peer add and drain upstreams, but do not revive leaving ones', (t) => {
+  const { table, changes } = createTable();
   const other = { ...record, id: 'u2' as UpstreamId, port: 81 };
   table.put(record);
   table.put(other);
   table.loseStore();
-  table.hearFromPeer([
+  table.mergeFromPeer([
     { ...record, state: 'leaving' },
     { ...other, id: 'u3' as UpstreamId },
   ]);
@@ -94,12 +97,13 @@
     table.usable(service).map((upstream) => upstream.id as string),
     ['u2', 'u3'],
   );
-  table.hearFromPeer([record]);
+  table.mergeFromPeer([record]);
   t.is(table.usable(service).length, 2);
   t.deepEqual(changes, ['seen', 'seen', 'leaving', 'seen']);
 });
 
-// Guards against instances that each open as many connections as an upstream accepts from all of them.
+// Guards against instances that each open as many connections as an upstream accepts from all
+// combined.
 test('an instance opens only its share of the connections to an upstream', async (t) => {
   const clock = new ManualClock();
   let instances = 4;
@@ -111,13 +115,13 @@
   });
   table.put(record);
   const [upstream] = table.usable(service);
-  const first = upstream?.takeConnection();
+  const first = upstream?.acquireConnection();
   t.true(upstream?.hasRoom);
-  upstream?.takeConnection();
+  upstream?.acquireConnection();
   t.false(upstream?.hasRoom);
-  if (first !== undefined) upstream?.returnConnection(first, true);
+  if (first !== undefined) upstream?.releaseConnection(first, true);
   t.true(upstream?.hasRoom);
-  upstream?.takeConnection();
+  upstream?.acquireConnection();
   instances = 3;
   await clock.advance(250);
   t.true(upstream?.hasRoom);
@@ -125,7 +129,7 @@
 
 // Guards against a restarted upstream that stays subject to the limit of its previous run.
 test('the limit of an upstream is dropped when the upstream restarts', (t) => {
-  const { table } = open();
+  const { table } = createTable();
   table.put(record);
   const stated = { requestsPerSecond: 1, sentMs: 0, receivedMs: 0 };
   table.get(id)?.limit.update(stated);
--- a/packages/forwarding/src/_lib/Attempt/index.ts
+++ b/packages/forwarding/src/_lib/Attempt/index.ts
@@ -1,5 +1,5 @@
 /**
- * One request at one upstream, from taking a connection to the end of the answer.
+ * One request at one upstream, from acquiring a connection to the end of the response.
  */
 import { describeError, RouterError, type Clock } from '@acaciacrank/base';
 import type { ServerResponse } from 'node:http';
@@ -8,14 +8,14 @@
 import { EventBuffer, type StreamEvent } from '../EventBuffer/index.js';
 import type { ForwardCall } from '../ForwardCall/index.js';
 import type { AnswerHead } from '../../types.js';
-import { heldBytesLimit, returnMarginMs } from '../limits/index.js';
-import { openExchange, wasNeverSent, type Exchange } from '../openExchange/index.js';
-import type { Reading, Send, Upstream } from '../Upstream/index.js';
+import { maxBufferedBytes, responseMarginMs } from '../limits/index.js';
+import { sendRequest, wasNeverSent, type UpstreamResponse } from '../sendRequest/index.js';
+import type { PrefillEstimate, InFlightRequest, Upstream } from '../Upstream/index.js';
 import type { LimitChange } from '../UpstreamLimit/index.js';
 
-/** How one attempt ended. */
+/** How an attempt ended. */
 export type AttemptResult =
-  /** A whole answer, held in memory. */
+  /** A complete response, held in memory. */
   | {
       readonly kind: 'answer';
       readonly status: number;
@@ -23,15 +23,15 @@
       readonly body: Buffer;
       readonly isFramed: boolean;
     }
-  /** A stream that was passed on to its end. */
+  /** A stream that was relayed to its end. */
   | { readonly kind: 'streamed'; readonly longestGapMs: number }
-  /** No byte left this instance. */
+  /** No byte was sent. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** The upstream says that it did not run the request. */
+  /** The upstream states that it did not run the request. */
   | { readonly kind: 'notRun'; readonly status: number; readonly isWrongUpstream: boolean }
   /** The upstream or the connection failed; the request may have run. */
   | { readonly kind: 'broken'; readonly reason: string }
-  /** Given up here for another upstream, since nothing came. */
+  /** Aborted by this instance in order to try another upstream, since no data arrived in time. */
   | { readonly kind: 'silent' }
   | { readonly kind: 'deadline'; readonly wasSent: boolean }
   | { readonly kind: 'callerGone'; readonly wasSent: boolean };
@@ -42,81 +42,87 @@
   codec: ForwardCodec;
   call: ForwardCall;
   upstream: Upstream;
-  /** Where the prompt's parts may be fetched from; undefined for nowhere. */
+  /**
+   * Address of an engine from which the prompt's parts can be copied; undefined if there is none.
+   */
   fetchFrom: string | undefined;
-  /** What the engine will read for it; undefined for plain services. */
-  reading: Reading | undefined;
-  /** Called once when the first event came. */
-  onBegun: (send: Send) => void;
-  /** Called when the answer changes the upstream's known rate limit. */
+  /** Estimated prefill work of the engine; undefined for plain services. */
+  prefill: PrefillEstimate | undefined;
+  /** Called once, when the first event arrives. */
+  onFirstEvent: (inFlightRequest: InFlightRequest) => void;
+  /** Called when the response changes the upstream's known rate limit. */
   onLimitChange: (change: LimitChange) => void;
-  /** After this long without anything from the upstream, give it up; undefined for never. */
-  silenceLimitMs: number | undefined;
+  /**
+   * Aborts the attempt after this long without data from the upstream, in milliseconds; undefined
+   * for no limit.
+   */
+  inactivityTimeoutMs: number | undefined;
 }
 
-/** Why an attempt was ended from here. */
-type EndReason = 'silent' | 'deadline' | 'callerGone';
+/** Why this instance aborted an attempt. */
+type AbortReason = 'silent' | 'deadline' | 'callerGone';
 
-/** Runs one attempt. */
 export class Attempt {
   readonly #options: AttemptOptions;
   readonly #abort = new AbortController();
-  #ended: EndReason | undefined;
-  #silence: Disposable | undefined;
+  #abortReason: AbortReason | undefined;
+  #inactivityTimer: Disposable | undefined;
 
   constructor(options: AttemptOptions) {
     this.#options = options;
   }
 
-  /** Sends the request and passes on or holds its answer. Never throws. */
+  /** Sends the request, then relays or buffers the response. Never throws. */
   async run(): Promise<AttemptResult> {
     const { call, upstream, clock } = this.#options;
-    const leftMs = call.deadlineMs - clock.monotonicMs();
+    const remainingMs = call.deadlineMs - clock.monotonicMs();
     if (call.gone.aborted) return { kind: 'callerGone', wasSent: false };
-    if (leftMs <= returnMarginMs) return { kind: 'deadline', wasSent: false };
-    const connection = upstream.takeConnection();
-    const send = upstream.begin(this.#options.reading);
-    const deadline = clock.schedule(leftMs, this.#ender('deadline'));
-    const onGone = this.#ender('callerGone');
-    call.gone.addEventListener('abort', onGone, { once: true });
-    this.#watchSilence();
-    let isSound = false;
+    if (remainingMs <= responseMarginMs) return { kind: 'deadline', wasSent: false };
+    const connection = upstream.acquireConnection();
+    const inFlightRequest = upstream.begin(this.#options.prefill);
+    const deadline = clock.schedule(remainingMs, this.#createAborter('deadline'));
+    const onCallerGone = this.#createAborter('callerGone');
+    call.gone.addEventListener('abort', onCallerGone, { once: true });
+    this.#restartInactivityTimer();
+    let isReusable = false;
     try {
-      const exchange = await openExchange(
+      const upstreamResponse = await sendRequest(
         connection.client,
-        this.#request(leftMs),
+        this.#createRequest(remainingMs),
         this.#options.codec,
       );
-      this.#hear(send, false);
-      const result = await this.#receive(exchange, send);
-      if (connection.wasReset) return this.#failure(new Error('the answer was reset on the way'));
-      isSound = result.kind === 'answer' || result.kind === 'streamed' || result.kind === 'notRun';
+      this.#recordReceived(inFlightRequest, false);
+      const result = await this.#receive(upstreamResponse, inFlightRequest);
+      if (connection.wasReset)
+        return this.#classifyError(new Error('the connection was reset during the response'));
+      isReusable =
+        result.kind === 'answer' || result.kind === 'streamed' || result.kind === 'notRun';
       return result;
     } catch (thrown) {
-      return this.#failure(thrown);
+      return this.#classifyError(thrown);
     } finally {
       deadline[Symbol.dispose]();
-      this.#silence?.[Symbol.dispose]();
-      call.gone.removeEventListener('abort', onGone);
-      upstream.end(send);
-      upstream.returnConnection(connection, isSound);
+      this.#inactivityTimer?.[Symbol.dispose]();
+      call.gone.removeEventListener('abort', onCallerGone);
+      upstream.end(inFlightRequest);
+      upstream.releaseConnection(connection, isReusable);
     }
   }
 
-  #ender(reason: EndReason): () => void {
+  #createAborter(reason: AbortReason): () => void {
     return () => {
-      this.#ended ??= reason;
+      this.#abortReason ??= reason;
       this.#abort.abort();
     };
   }
 
-  #request(leftMs: number) {
+  #createRequest(remainingMs: number) {
     const { call, upstream, codec, fetchFrom } = this.#options;
     const { request } = call;
     const headers = codec.upstreamHeaders(request.rawHeaders, {
       upstreamId: upstream.id,
       accountId: call.account?.accountId,
-      budgetMs: Math.max(1, Math.floor(leftMs - returnMarginMs)),
+      budgetMs: Math.max(1, Math.floor(remainingMs - responseMarginMs)),
       resumeAfter: call.progress.lastEventId ?? call.head.resumeAfter,
       priority: undefined,
       fetchFrom,
@@ -130,129 +136,147 @@
     };
   }
 
-  async #receive(exchange: Exchange, send: Send): Promise<AttemptResult> {
+  async #receive(
+    upstreamResponse: UpstreamResponse,
+    inFlightRequest: InFlightRequest,
+  ): Promise<AttemptResult> {
     const { call, upstream, clock } = this.#options;
-    const { head, status } = exchange;
+    const { head, status } = upstreamResponse;
     if (head.load !== undefined) upstream.load = { report: head.load, atMs: clock.monotonicMs() };
-    this.#updateLimit(head, send);
+    this.#updateLimit(head, inFlightRequest);
     if (head.isNotRun) {
-      await readWhole(exchange.body);
+      await readFully(upstreamResponse.body);
       return { kind: 'notRun', status, isWrongUpstream: head.isWrongUpstream };
     }
-    // A late answer to an earlier request may stand where this one's was due; the id tells.
+    // A late response to an earlier request may arrive on this connection instead; the request id
+    // shows it.
     if (head.requestId !== undefined && head.requestId !== call.head.requestId) {
-      return this.#spoilt(exchange, 'answer of another request');
+      return this.#rejectResponse(upstreamResponse, 'response to a different request');
     }
     const isSuccess = status >= 200 && status < 300;
     if (isSuccess && (!head.isSigned || head.requestId === undefined)) {
-      return this.#spoilt(exchange, 'success that the upstream does not vouch for');
+      return this.#rejectResponse(
+        upstreamResponse,
+        'success response without signature or request id',
+      );
     }
-    if (isSuccess && call.route.kind === 'stream') return this.#passOn(exchange, send);
-    const body = await readWhole(exchange.body);
-    const { headers, isFramed } = exchange;
+    if (isSuccess && call.route.kind === 'stream')
+      return this.#relayStream(upstreamResponse, inFlightRequest);
+    const body = await readFully(upstreamResponse.body);
+    const { headers, isFramed } = upstreamResponse;
     return { kind: 'answer', status, headers, body, isFramed };
   }
 
   /**
-   * Updates the upstream's rate limit from an answer. An answer without a limit clears the known one
-   * only if it is signed.
+   * Updates the upstream's rate limit from a response. A response without a limit clears the known
+   * one only if it is signed.
    */
-  #updateLimit({ limitPerS, requestId, isSigned, isWrongUpstream }: AnswerHead, send: Send): void {
+  #updateLimit(
+    { limitPerS, requestId, isSigned, isWrongUpstream }: AnswerHead,
+    inFlightRequest: InFlightRequest,
+  ): void {
     const { call, upstream, clock, onLimitChange } = this.#options;
     if (limitPerS === undefined || isWrongUpstream) return;
     if (requestId !== undefined && requestId !== call.head.requestId) return;
     if (limitPerS === Infinity && !isSigned) return;
     const change = upstream.limit.update({
       requestsPerSecond: limitPerS,
-      sentMs: send.sentMs,
+      sentMs: inFlightRequest.sentMs,
       receivedMs: clock.monotonicMs(),
     });
     if (change !== undefined) onLimitChange(change);
   }
 
-  #spoilt(exchange: Exchange, reason: string): AttemptResult {
-    exchange.body.on('error', () => undefined);
-    exchange.body.destroy();
+  #rejectResponse(upstreamResponse: UpstreamResponse, reason: string): AttemptResult {
+    upstreamResponse.body.on('error', () => undefined);
+    upstreamResponse.body.destroy();
     return { kind: 'broken', reason };
   }
 
-  /** Passes whole events on as they come. */
-  async #passOn(exchange: Exchange, send: Send): Promise<AttemptResult> {
+  /** Relays complete events as they arrive. */
+  async #relayStream(
+    upstreamResponse: UpstreamResponse,
+    inFlightRequest: InFlightRequest,
+  ): Promise<AttemptResult> {
     const { call } = this.#options;
     const buffer = new EventBuffer();
-    for await (const chunk of exchange.body as AsyncIterable<Buffer>) {
-      if (!send.hasBegun) this.#options.onBegun(send);
-      this.#hear(send, true);
+    for await (const chunk of upstreamResponse.body as AsyncIterable<Buffer>) {
+      if (!inFlightRequest.hasFirstEvent) this.#options.onFirstEvent(inFlightRequest);
+      this.#recordReceived(inFlightRequest, true);
       const events = buffer.push(chunk);
-      if (events.length > 0) await this.#write(exchange, events);
+      if (events.length > 0) await this.#relayEvents(upstreamResponse, events);
     }
-    if (buffer.isPartial) return { kind: 'broken', reason: 'the stream ended inside an event' };
-    if (!call.response.headersSent) this.#writeHead(exchange);
-    return { kind: 'streamed', longestGapMs: Math.round(send.longestGapMs) };
+    if (buffer.hasPartialEvent)
+      return { kind: 'broken', reason: 'the stream ended in the middle of an event' };
+    if (!call.response.headersSent) this.#writeResponseHead(upstreamResponse);
+    return { kind: 'streamed', longestGapMs: Math.round(inFlightRequest.longestGapMs) };
   }
 
-  async #write(exchange: Exchange, events: readonly StreamEvent[]): Promise<void> {
+  async #relayEvents(
+    upstreamResponse: UpstreamResponse,
+    events: readonly StreamEvent[],
+  ): Promise<void> {
     const { call } = this.#options;
     const { progress } = call;
     for (const { id } of events) {
-      if (!follows(progress.lastEventId, id)) {
-        throw new RouterError('upstreamFailed', 'an event is missing or comes twice');
+      if (!isNextEvent(progress.lastEventId, id)) {
+        throw new RouterError('upstreamFailed', 'an event is missing or duplicated');
       }
       progress.lastEventId = id ?? progress.lastEventId;
       progress.events += 1;
     }
-    if (!call.response.headersSent) this.#writeHead(exchange);
-    const [only] = events;
+    if (!call.response.headersSent) this.#writeResponseHead(upstreamResponse);
+    const [onlyEvent] = events;
     const bytes =
-      events.length === 1 && only !== undefined
-        ? only.bytes
+      events.length === 1 && onlyEvent !== undefined
+        ? onlyEvent.bytes
         : Buffer.concat(events.map((event) => event.bytes));
     await call.writer.write(bytes);
   }
 
-  #writeHead(exchange: Exchange): void {
+  #writeResponseHead(upstreamResponse: UpstreamResponse): void {
     const { call, codec } = this.#options;
     call.story.add('firstEvent', { upstreamId: this.#options.upstream.id });
-    if (!exchange.isFramed) endWithConnection(call.response);
-    call.response.writeHead(exchange.status, codec.callerHeaders(exchange.headers));
+    if (!upstreamResponse.isFramed) delimitByConnectionClose(call.response);
+    call.response.writeHead(upstreamResponse.status, codec.callerHeaders(upstreamResponse.headers));
   }
 
-  #hear(send: Send, hasBegun: boolean): void {
-    this.#options.upstream.hear(send, hasBegun);
-    this.#watchSilence();
+  #recordReceived(inFlightRequest: InFlightRequest, hasFirstEvent: boolean): void {
+    this.#options.upstream.recordReceived(inFlightRequest, hasFirstEvent);
+    this.#restartInactivityTimer();
   }
 
-  #watchSilence(): void {
-    const { silenceLimitMs, clock } = this.#options;
-    this.#silence?.[Symbol.dispose]();
-    if (silenceLimitMs === undefined) return;
-    this.#silence = clock.schedule(silenceLimitMs, this.#ender('silent'));
+  #restartInactivityTimer(): void {
+    const { inactivityTimeoutMs, clock } = this.#options;
+    this.#inactivityTimer?.[Symbol.dispose]();
+    if (inactivityTimeoutMs === undefined) return;
+    this.#inactivityTimer = clock.schedule(inactivityTimeoutMs, this.#createAborter('silent'));
   }
 
-  #failure(thrown: unknown): AttemptResult {
-    const ended = this.#ended;
-    if (ended === 'silent') return { kind: ended };
-    if (ended !== undefined) return { kind: ended, wasSent: !wasNeverSent(thrown) };
+  #classifyError(thrown: unknown): AttemptResult {
+    const abortReason = this.#abortReason;
+    if (abortReason === 'silent') return { kind: abortReason };
+    if (abortReason !== undefined) return { kind: abortReason, wasSent: !wasNeverSent(thrown) };
     if (wasNeverSent(thrown)) return { kind: 'notSent', reason: describeError(thrown).message };
     return { kind: 'broken', reason: describeError(thrown).message };
   }
 }
 
 /**
- * Makes an answer's end the end of its connection, as the upstream's was.
+ * Ends the response to the caller by closing the connection, as the upstream did.
  *
- * Guards against an upstream that crashes within an answer without a length: the operating system
- * closes its connection in good order, so that the cut answer looks whole. Given a length or chunks
- * here, it would be vouched for by this instance; ended by its connection, its reader knows no more
- * and no less than from the upstream itself.
+ * Guards against an upstream that crashes while sending a response without a length: the operating
+ * system closes its connection in an orderly way, so that the truncated response looks complete.
+ * With a content length or chunked encoding this instance would confirm that it is complete. With a
+ * close-delimited response the caller knows exactly as much as it would from the upstream itself.
  */
-export function endWithConnection(response: ServerResponse): void {
+export function delimitByConnectionClose(response: ServerResponse): void {
   response.shouldKeepAlive = false;
   response.useChunkedEncodingByDefault = false;
 }
 
-/** Whether an event may come after another; ids that are numbers must be in turn. */
-function follows(last: string | undefined, next: string | undefined): boolean {
+/** Whether an event may follow another one: numeric ids must be consecutive. */
+function isNextEvent(last: string | undefined, next: string | undefined): boolean {
   if (last === undefined || next === undefined) return true;
   const lastNumber = Number(last);
   const nextNumber = Number(next);
@@ -260,12 +284,13 @@
   return nextNumber === lastNumber + 1;
 }
 
-async function readWhole(body: Readable): Promise<Buffer> {
+async function readFully(body: Readable): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of body as AsyncIterable<Buffer>) {
     bytes += chunk.byteLength;
-    if (bytes > heldBytesLimit) throw new RouterError('upstreamFailed', 'the answer is too large');
+    if (bytes > maxBufferedBytes)
+      throw new RouterError('upstreamFailed', 'the response exceeds the size limit');
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
--- a/packages/forwarding/src/_lib/Dispatch/index.ts
+++ b/packages/forwarding/src/_lib/Dispatch/index.ts
@@ -1,5 +1,5 @@
 /**
- * Sends a request to one upstream after the other until it is answered or has to be given up.
+ * Sends a request to one upstream after another until it succeeds or no retry is possible.
  */
 import {
   RouterError,
@@ -12,98 +12,101 @@
 import type { EngineModel, RetryShare } from '@acaciacrank/routing';
 import type { ForwardCodec } from '../../ForwardCodec/index.js';
 import type { UpstreamTable } from '../../UpstreamTable/index.js';
-import { Attempt, endWithConnection, type AttemptResult } from '../Attempt/index.js';
+import { Attempt, delimitByConnectionClose, type AttemptResult } from '../Attempt/index.js';
 import { isRepeatable, type ForwardCall } from '../ForwardCall/index.js';
 import type { EngineModels } from '../EngineModels/index.js';
-import { maxUnsentAttempts, silenceMs } from '../limits/index.js';
-import type { PartPlaces } from '../PartPlaces/index.js';
+import { maxConnectAttempts, upstreamInactivityMs } from '../limits/index.js';
+import type { PromptPartLocations } from '../PartPlaces/index.js';
 import { pickUpstream, type UpstreamPick } from '../pickUpstream/index.js';
-import type { Send, Upstream } from '../Upstream/index.js';
+import type { InFlightRequest, Upstream } from '../Upstream/index.js';
 import type { LimitChange } from '../UpstreamLimit/index.js';
 
-/** What all dispatches of an instance share. */
-export interface DispatchParts {
+/** Dependencies shared by all dispatches of an instance. */
+export interface DispatchDependencies {
   readonly clock: Clock;
   readonly codec: ForwardCodec;
   readonly upstreams: UpstreamTable;
   readonly retries: RetryShare;
   readonly ownDomain: FailureDomainId;
-  readonly parts: PartPlaces;
+  readonly promptPartLocations: PromptPartLocations;
   readonly models: EngineModels;
   readonly random: Random;
   readonly metrics: Metrics;
 }
 
-/** A plain answer that takes longer than this many target latencies is asked for elsewhere as well. */
-const slowAnswerFactor = 1.5;
-type PlainAnswer = Extract<AttemptResult, { kind: 'answer' }>;
+/**
+ * A plain request that may run twice is retried at another upstream after this many target
+ * latencies without data.
+ */
+const slowResponseFactor = 1.5;
+type PlainResponse = Extract<AttemptResult, { kind: 'answer' }>;
 
 /**
- * Bounds of the retry delay that a caller is given when upstreams are at their limits, in
- * milliseconds. Another instance may have room sooner than this one.
+ * Bounds of the retry delay sent to a caller when upstreams are at their limits, in milliseconds.
+ * The upper bound is low because another instance may have capacity sooner than this one.
  */
 const minRetryAfterMs = 100;
 const maxRetryAfterMs = 1_000;
 
-/** A server error may be the upstream's alone, so that another one answers. */
+/** Responses with this status or above are retried: the error may be specific to one upstream. */
 const firstServerError = 500;
 
-/** Serves one request that was admitted. */
+/** Serves one admitted request. */
 export class Dispatch {
-  readonly #parts: DispatchParts;
+  readonly #dependencies: DispatchDependencies;
   readonly #call: ForwardCall;
-  readonly #tried = new Set<UpstreamId>();
-  #unsent = 0;
+  readonly #attemptedIds = new Set<UpstreamId>();
+  #unsentAttempts = 0;
 
-  constructor(parts: DispatchParts, call: ForwardCall) {
-    this.#parts = parts;
+  constructor(dependencies: DispatchDependencies, call: ForwardCall) {
+    this.#dependencies = dependencies;
     this.#call = call;
   }
 
   /**
-   * Serves the request; its answer has been written when this returns.
+   * Serves the request; the response has been written when this returns.
    *
-   * @throws RouterError that says why there is no answer and whether the request may have run
+   * @throws RouterError that states why there is no response and whether the request may have run
    */
   async run(): Promise<void> {
     for (;;) {
       const pick = this.#pick();
-      if (pick === undefined) throw this.#noUpstream();
+      if (pick === undefined) throw this.#createUnavailableError();
       const result = await this.#attempt(pick);
-      if (await this.#finish(pick.upstream, result)) return;
+      if (await this.#handleResult(pick.upstream, result)) return;
     }
   }
 
   #pick(): UpstreamPick | undefined {
-    const { upstreams, ownDomain, parts, clock, random } = this.#parts;
+    const { upstreams, ownDomain, promptPartLocations, clock, random } = this.#dependencies;
     const { head, service } = this.#call;
     return pickUpstream({
       candidates: upstreams.usable(service.name),
-      tried: this.#tried,
+      attemptedIds: this.#attemptedIds,
       promptParts: head.promptParts,
       promptTokens: head.tokens?.promptTokens ?? 0,
       engine: service.engine,
       model: this.#model,
       ownDomain,
-      parts,
+      promptPartLocations,
       nowMs: clock.monotonicMs(),
       random,
     });
   }
 
   async #attempt(pick: UpstreamPick): Promise<AttemptResult> {
-    const { upstream, fetchFrom, reading, why } = pick;
-    const { clock, codec, retries } = this.#parts;
+    const { upstream, fetchFrom, prefill, why } = pick;
+    const { clock, codec, retries } = this.#dependencies;
     const call = this.#call;
-    if (this.#tried.size === 0) retries.recordRequest(call.service.name);
-    this.#tried.add(upstream.id);
+    if (this.#attemptedIds.size === 0) retries.recordRequest(call.service.name);
+    this.#attemptedIds.add(upstream.id);
     call.story.add('sent', {
       upstreamId: upstream.id,
       why,
       fetchFrom,
       backlogMs: Math.round(upstream.backlogMs),
-      readMs: reading === undefined ? undefined : Math.round(reading.expectedMs),
-      ownInFlight: upstream.sends.size,
+      readMs: prefill === undefined ? undefined : Math.round(prefill.expectedMs),
+      ownInFlight: upstream.inFlight.size,
       reportedRunning: upstream.load?.report.running,
       reportAgeMs:
         upstream.load === undefined
@@ -113,14 +116,14 @@
         upstream.limit.requestsPerSecond === Infinity
           ? undefined
           : upstream.limit.requestsPerSecond,
-      outOf: this.#parts.upstreams.usable(call.service.name).length,
+      outOf: this.#dependencies.upstreams.usable(call.service.name).length,
     });
-    const silenceLimitMs = this.#silenceLimitMs();
-    const onBegun = (send: Send) => {
-      this.#learnFrom(send);
+    const inactivityTimeoutMs = this.#inactivityTimeoutMs();
+    const onFirstEvent = (inFlightRequest: InFlightRequest) => {
+      this.#observePrefill(inFlightRequest);
     };
     const onLimitChange = (change: LimitChange) => {
-      this.#parts.upstreams.tellLimitChange(upstream, change);
+      this.#dependencies.upstreams.tellLimitChange(upstream, change);
     };
     const attempt = new Attempt({
       clock,
@@ -128,107 +131,121 @@
       call,
       upstream,
       fetchFrom,
-      reading,
-      onBegun,
+      prefill,
+      onFirstEvent,
       onLimitChange,
-      silenceLimitMs,
+      inactivityTimeoutMs,
     });
     const result = await attempt.run();
-    if (wasSent(result)) call.progress.sends += 1;
+    if (wasSent(result)) call.progress.sendCount += 1;
     return result;
   }
 
-  /** Learns from a prompt that was read alone, as far as this instance sees. */
-  #learnFrom({ reading, sentMs, aheadMs }: Send): void {
-    if (reading === undefined || aheadMs > 0 || !reading.isHeld) return;
-    const { promptTokens, newTokens } = reading;
-    const elapsedMs = this.#parts.clock.monotonicMs() - sentMs;
+  /**
+   * Adds a sample to the engine model if, as far as this instance can tell, nothing was queued
+   * ahead of the prompt.
+   */
+  #observePrefill({ prefill, sentMs, queuedAheadMs }: InFlightRequest): void {
+    if (prefill === undefined || queuedAheadMs > 0 || !prefill.isSharedCached) return;
+    const { promptTokens, newTokens } = prefill;
+    const elapsedMs = this.#dependencies.clock.monotonicMs() - sentMs;
     this.#model.observeRead({ newTokens, cachedTokens: promptTokens - newTokens, elapsedMs });
   }
 
   get #model(): EngineModel {
-    return this.#parts.models.of(this.#call.service.name);
+    return this.#dependencies.models.get(this.#call.service.name);
   }
 
-  /** How long to wait for a silent upstream, where another one may be asked instead. */
-  #silenceLimitMs(): number | undefined {
+  /**
+   * Returns how long to wait for data from an upstream; undefined if no other upstream may be
+   * tried.
+   */
+  #inactivityTimeoutMs(): number | undefined {
     const { route, progress } = this.#call;
-    const isLast = progress.sends + 1 >= route.maxUpstreams;
+    const isLast = progress.sendCount + 1 >= route.maxUpstreams;
     if (isLast || !isRepeatable(this.#call)) return undefined;
-    if (route.kind === 'stream') return Math.max(silenceMs, 2 * route.targetLatencyMs);
-    return slowAnswerFactor * route.targetLatencyMs;
+    if (route.kind === 'stream') return Math.max(upstreamInactivityMs, 2 * route.targetLatencyMs);
+    return slowResponseFactor * route.targetLatencyMs;
   }
 
-  /** Takes the result in; returns whether the request has its answer. */
-  async #finish(upstream: Upstream, result: AttemptResult): Promise<boolean> {
+  /** Handles the result of an attempt; returns whether the caller's request is complete. */
+  async #handleResult(upstream: Upstream, result: AttemptResult): Promise<boolean> {
     const call = this.#call;
-    call.story.add(result.kind, describe(result));
-    this.#judge(upstream, result);
+    call.story.add(result.kind, describeResult(result));
+    this.#recordResult(upstream, result);
     switch (result.kind) {
       case 'streamed':
         await call.writer.end();
         return true;
       case 'answer':
         call.progress.mayHaveRun = true;
-        if (result.status >= firstServerError && this.#mayRepeat()) return false;
-        this.#writeAnswerHead(result);
+        if (result.status >= firstServerError && this.#tryTakeRetry()) return false;
+        this.#writeResponseHead(result);
         await call.writer.end(result.body);
         return true;
       case 'notSent':
-        this.#unsent += 1;
-        if (this.#unsent < maxUnsentAttempts) return false;
-        throw this.#noUpstream();
+        this.#unsentAttempts += 1;
+        if (this.#unsentAttempts < maxConnectAttempts) return false;
+        throw this.#createUnavailableError();
       case 'notRun':
-        if (this.#mayRepeat()) return false;
-        throw this.#noUpstream();
+        if (this.#tryTakeRetry()) return false;
+        throw this.#createUnavailableError();
       case 'broken':
       case 'silent':
         call.progress.mayHaveRun = true;
-        if (isRepeatable(call) && this.#mayRepeat()) return false;
+        if (isRepeatable(call) && this.#tryTakeRetry()) return false;
         throw new RouterError(
           isRepeatable(call) ? 'upstreamFailed' : 'outcomeUnknown',
-          result.kind === 'broken' ? result.reason : 'the upstream went silent',
+          result.kind === 'broken'
+            ? result.reason
+            : 'the upstream sent no data within the time limit',
         );
       case 'deadline':
         call.progress.mayHaveRun ||= result.wasSent;
-        throw new RouterError('deadlineExceeded', 'the time for this request is over', {
-          ran: call.progress.sends > 0 ? 'unknown' : 'notRun',
+        throw new RouterError('deadlineExceeded', 'the deadline of the request has passed', {
+          ran: call.progress.sendCount > 0 ? 'unknown' : 'notRun',
         });
       case 'callerGone':
         call.progress.mayHaveRun ||= result.wasSent;
-        throw new RouterError('cancelled', 'the caller has left');
+        throw new RouterError('cancelled', 'the caller disconnected');
     }
   }
 
-  #writeAnswerHead({ status, headers, body, isFramed }: PlainAnswer): void {
+  #writeResponseHead({ status, headers, body, isFramed }: PlainResponse): void {
     const { response } = this.#call;
-    const passed = this.#parts.codec.callerHeaders(headers);
-    if (isFramed) passed.push('content-length', String(body.byteLength));
-    else endWithConnection(response);
-    response.writeHead(status, passed);
+    const callerHeaders = this.#dependencies.codec.callerHeaders(headers);
+    if (isFramed) callerHeaders.push('content-length', String(body.byteLength));
+    else delimitByConnectionClose(response);
+    response.writeHead(status, callerHeaders);
   }
 
-  /** Whether another upstream may be tried, by the route, the service's retries and the choice. */
-  #mayRepeat(): boolean {
+  /**
+   * Whether the request may be sent to another upstream. Checks the route's limit and the available
+   * upstreams, and takes one retry from the service's retry budget.
+   */
+  #tryTakeRetry(): boolean {
     const { route, progress, service } = this.#call;
-    if (progress.sends >= route.maxUpstreams) return false;
-    const others = this.#parts.upstreams.usable(service.name);
-    if (!others.some(({ id, hasRoom }) => hasRoom && !this.#tried.has(id))) return false;
-    const isAllowed = this.#parts.retries.tryRepeat(service.name);
+    if (progress.sendCount >= route.maxUpstreams) return false;
+    const others = this.#dependencies.upstreams.usable(service.name);
+    if (!others.some(({ id, hasRoom }) => hasRoom && !this.#attemptedIds.has(id))) return false;
+    const isAllowed = this.#dependencies.retries.tryRepeat(service.name);
     this.#call.story.add(isAllowed ? 'repeat' : 'noRepeatLeft');
     return isAllowed;
   }
 
-  #noUpstream(): RouterError {
+  #createUnavailableError(): RouterError {
     const { progress, service } = this.#call;
     const reason = `no upstream of ${service.name} could take the request`;
     if (progress.mayHaveRun) return new RouterError('upstreamFailed', reason);
-    return new RouterError('upstreamUnavailable', reason, this.#retryAfter());
+    return new RouterError('upstreamUnavailable', reason, this.#retryDelay());
   }
 
-  /** The retry delay if any upstream is at its limit of requests or connections; empty otherwise. */
-  #retryAfter(): { retryAfterMs?: number } {
-    const { upstreams, metrics } = this.#parts;
+  /**
+   * Returns a retry delay if an upstream is at its limit of requests or connections, otherwise an
+   * empty object.
+   */
+  #retryDelay(): { retryAfterMs?: number } {
+    const { upstreams, metrics } = this.#dependencies;
     const limited = upstreams.usable(this.#call.service.name).filter(({ hasRoom }) => !hasRoom);
     if (limited.length === 0) return {};
     metrics.count('refusedAtLimit');
@@ -237,16 +254,17 @@
     return { retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs)) };
   }
 
-  /** Learns from a result what it says of the upstream. */
-  #judge(upstream: Upstream, result: AttemptResult): void {
-    const { upstreams, metrics } = this.#parts;
+  /** Updates metrics and the upstream's health from the result of an attempt. */
+  #recordResult(upstream: Upstream, result: AttemptResult): void {
+    const { upstreams, metrics } = this.#dependencies;
     metrics.count('attempts', result.kind);
-    if (result.kind === 'streamed') upstream.succeed();
-    if (result.kind === 'answer' && result.status < firstServerError) upstream.succeed();
-    if (result.kind === 'notRun' && result.isWrongUpstream) upstreams.forgetWrong(upstream);
+    if (result.kind === 'streamed') upstream.recordSuccess();
+    if (result.kind === 'answer' && result.status < firstServerError) upstream.recordSuccess();
+    if (result.kind === 'notRun' && result.isWrongUpstream) upstreams.removeMismatched(upstream);
     const isFault = result.kind === 'broken' || result.kind === 'silent';
-    if (result.kind === 'notSent') upstream.leaveOut();
-    if (result.kind === 'notSent' || (isFault && upstream.fail())) upstreams.tellLeftOut(upstream);
+    if (result.kind === 'notSent') upstream.eject();
+    if (result.kind === 'notSent' || (isFault && upstream.recordFailure()))
+      upstreams.reportEjected(upstream);
   }
 }
 
@@ -256,7 +274,7 @@
   return result.kind !== 'notSent';
 }
 
-function describe(result: AttemptResult): Record<string, string | number | boolean> {
+function describeResult(result: AttemptResult): Record<string, string | number | boolean> {
   if (result.kind === 'answer') return { status: result.status, bytes: result.body.byteLength };
   if (result.kind === 'streamed') return { longestGapMs: result.longestGapMs };
   if (result.kind === 'notRun') return { status: result.status };
--- a/packages/forwarding/src/_lib/EventBuffer/index.ts
+++ b/packages/forwarding/src/_lib/EventBuffer/index.ts
@@ -1,13 +1,13 @@
 /**
- * Cuts a stream of bytes into whole events.
+ * Splits a byte stream into complete server-sent events.
  */
 import { RouterError } from '@acaciacrank/base';
 import { maxEventBytes } from '../limits/index.js';
 
-/** One whole event, as the upstream wrote it. */
+/** One complete event, byte for byte as the upstream sent it. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** The event's id, where it has one. */
+  /** The event's id; undefined if it has none. */
   readonly id: string | undefined;
 }
 
@@ -15,45 +15,51 @@
 const carriageReturn = 0x0d;
 
 /**
- * Holds bytes back until their event is whole.
+ * Buffers bytes until an event is complete.
  *
- * Guards against an upstream that breaks off in the middle of an event: the caller would otherwise
- * get half an event, and the stream that goes on elsewhere would be joined to it.
+ * Guards against an upstream that fails in the middle of an event: the caller would otherwise
+ * receive the first half of it, directly followed by the stream resumed at another upstream.
  */
 export class EventBuffer {
-  #held: Buffer = Buffer.alloc(0);
+  #pending: Buffer = Buffer.alloc(0);
 
-  /** Whether part of an event is held. */
-  get isPartial(): boolean {
-    return this.#held.byteLength > 0;
+  /** Whether the buffer contains an incomplete event. */
+  get hasPartialEvent(): boolean {
+    return this.#pending.byteLength > 0;
   }
 
   /**
-   * Takes bytes in and gives whole events out.
+   * Adds received bytes and returns the events that they complete.
    *
-   * @param chunk - what came
-   * @returns the events that are whole now, in order
-   * @throws RouterError `upstreamFailed` for an event that is too large
+   * @param chunk - the received bytes
+   * @returns the completed events, in order
+   * @throws RouterError `upstreamFailed` if an event is too large
    */
   push(chunk: Buffer): StreamEvent[] {
-    const bytes = this.#held.byteLength === 0 ? chunk : Buffer.concat([this.#held, chunk]);
+    const bytes = this.#pending.byteLength === 0 ? chunk : Buffer.concat([this.#pending, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
-    for (let end = endOfEvent(bytes, start); end > 0; end = endOfEvent(bytes, start)) {
+    for (let end = findEventEnd(bytes, start); end > 0; end = findEventEnd(bytes, start)) {
       const event = bytes.subarray(start, end);
-      events.push({ bytes: event, id: idOf(event) });
+      events.push({ bytes: event, id: parseEventId(event) });
       start = end;
     }
-    this.#held = bytes.subarray(start);
-    if (this.#held.byteLength > maxEventBytes) {
-      throw new RouterError('upstreamFailed', 'the upstream sent an event without an end');
+    this.#pending = bytes.subarray(start);
+    if (this.#pending.byteLength > maxEventBytes) {
+      throw new RouterError(
+        'upstreamFailed',
+        'the upstream sent an event that exceeds the size limit',
+      );
     }
     return events;
   }
 }
 
-/** Where the first event from `start` on ends, after its empty line; -1 while it is not whole. */
-function endOfEvent(bytes: Buffer, start: number): number {
+/**
+ * Returns the end of the first event after `start`, including its empty line; -1 if it is
+ * incomplete.
+ */
+function findEventEnd(bytes: Buffer, start: number): number {
   let lineEnd = bytes.indexOf(lineFeed, start);
   while (lineEnd >= 0) {
     const next = lineEnd + 1;
@@ -64,7 +70,7 @@
   return -1;
 }
 
-function idOf(event: Buffer): string | undefined {
+function parseEventId(event: Buffer): string | undefined {
   const match = /^id: ?(.*?)\r?$/m.exec(event.toString('latin1'));
   return match?.[1];
 }
--- a/packages/forwarding/src/_lib/ForwardCall/index.ts
+++ b/packages/forwarding/src/_lib/ForwardCall/index.ts
@@ -1,12 +1,12 @@
 /**
- * One caller's request on its way through an instance.
+ * A caller's request while an instance processes it.
  */
 import type { CallerWriter } from '@acaciacrank/callers';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CallHead, ForwardAccount, Route, ServiceTraits } from '../../types.js';
-import type { RequestStory } from '../RequestStory/index.js';
+import type { RequestTrace } from '../RequestTrace/index.js';
 
-/** What an instance knows of one request, and how far it has come. */
+/** A request with its route, account and progress. */
 export interface ForwardCall {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -16,27 +16,30 @@
   readonly service: ServiceTraits;
   readonly account: ForwardAccount | undefined;
   readonly body: Buffer;
-  /** When the caller or the route's timeout gives up, on the monotonic clock in milliseconds. */
+  /**
+   * When the caller's time budget or the route's timeout ends, on the monotonic clock in
+   * milliseconds.
+   */
   readonly deadlineMs: number;
-  /** Aborted when the caller has left. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortSignal;
-  readonly story: RequestStory;
+  readonly story: RequestTrace;
   readonly progress: CallProgress;
 }
 
-/** What has happened to a request so far. */
+/** Progress of a request. */
 export interface CallProgress {
-  /** Whether some upstream may have run it, or may still. */
+  /** Whether an upstream may have run the request, or may still run it. */
   mayHaveRun: boolean;
-  /** Upstreams to which it was sent. */
-  sends: number;
-  /** Events passed on to the caller or dropped on the way. */
+  /** Number of upstreams that the request was sent to. */
+  sendCount: number;
+  /** Number of events relayed to the caller, including events whose write failed. */
   events: number;
-  /** The id of the last event passed on. */
+  /** The id of the last event relayed to the caller. */
   lastEventId: string | undefined;
 }
 
-/** Whether a request may be sent again although it may have run. */
+/** Whether a request may be sent again even though it may already have run. */
 export function isRepeatable({ route }: ForwardCall): boolean {
   return route.kind === 'repeatable' || (route.kind === 'stream' && route.isResumable);
 }
--- a/packages/forwarding/src/_lib/MemberLog/index.ts
+++ b/packages/forwarding/src/_lib/MembershipLog/index.ts
@@ -1,40 +1,43 @@
 import type { InstanceId, Log, Metrics } from '@acaciacrank/base';
 import type { Member, MemberState } from '@acaciacrank/fleet';
 
-/** Options of {@link MemberLog}. */
-export interface MemberLogOptions {
+/** Options of {@link MembershipLog}. */
+export interface MembershipLogOptions {
   log: Log;
   metrics: Metrics;
-  /** How long ago the store's list of instances was read, in milliseconds. */
+  /**
+   * Time since the store's list of instances was last read, in milliseconds; undefined before the
+   * first read.
+   */
   listAgeMs: () => number | undefined;
 }
 
-/** Tells of each change of what this instance believes about another one. */
-export class MemberLog {
-  readonly #options: MemberLogOptions;
+/** Logs each change of another instance's state as seen by this instance. */
+export class MembershipLog {
+  readonly #options: MembershipLogOptions;
   readonly #states = new Map<InstanceId, MemberState>();
 
-  constructor(options: MemberLogOptions) {
+  constructor(options: MembershipLogOptions) {
     this.#options = options;
   }
 
-  /** Notes how all other instances are seen now. */
-  note(members: readonly Member[]): void {
+  /** Logs the differences between the given states of all other instances and the previous ones. */
+  update(members: readonly Member[]): void {
     for (const { id, state, incarnation } of members) {
       const was = this.#states.get(id);
       if (was === state) continue;
       this.#states.set(id, state);
-      this.#tell({ peer: id, state, was, incarnation });
+      this.#logChange({ peer: id, state, was, incarnation });
     }
     const known = new Set(members.map(({ id }) => id));
     for (const [id, was] of this.#states) {
       if (known.has(id)) continue;
       this.#states.delete(id);
-      this.#tell({ peer: id, state: 'forgotten', was });
+      this.#logChange({ peer: id, state: 'forgotten', was });
     }
   }
 
-  #tell(change: {
+  #logChange(change: {
     readonly peer: InstanceId;
     readonly state: string;
     readonly [more: string]: unknown;
--- a/packages/forwarding/src/_lib/PartPlaces/index.ts
+++ b/packages/forwarding/src/_lib/PartPlaces/index.ts
@@ -1,44 +1,47 @@
 /**
- * Which engines hold parts of prompts, as far as this instance knows.
+ * Tracks which engines probably have parts of prompts in their cache.
  */
 import type { UpstreamId } from '@acaciacrank/base';
 
-/** Parts remembered at most; the one used longest ago goes first. */
+/** Maximum number of tracked parts; the least recently used one is evicted. */
 const maxParts = 4_096;
 /**
- * How long an engine is taken to hold a part after it was last sent there, in milliseconds: it drops
- * what was used longest ago when it needs room.
+ * How long after a part was last sent to an engine the engine is assumed to have it, in
+ * milliseconds. An engine evicts the least recently used parts when it needs room.
  */
-const heldMs = 20_000;
+const retentionMs = 20_000;
 
-/** Remembers for each part the engines that it was sent to, and when last. */
-export class PartPlaces {
-  readonly #places = new Map<string, Map<UpstreamId, number>>();
+/** Stores for each part the engines that it was sent to and the time it was last sent. */
+export class PromptPartLocations {
+  readonly #enginesByPart = new Map<string, Map<UpstreamId, number>>();
 
   /**
-   * The engines that hold a part.
+   * Returns the engines that are assumed to have a part in their cache.
    *
    * @param partId - the part
-   * @param nowMs - on the monotonic clock
+   * @param nowMs - the current time on the monotonic clock, in milliseconds
    */
-  holders(partId: string, nowMs: number): ReadonlySet<UpstreamId> {
-    const held = [...(this.#places.get(partId) ?? [])].filter(([, atMs]) => nowMs - atMs < heldMs);
-    return new Set(held.map(([id]) => id));
+  enginesWith(partId: string, nowMs: number): ReadonlySet<UpstreamId> {
+    const recent = [...(this.#enginesByPart.get(partId) ?? [])].filter(
+      ([, atMs]) => nowMs - atMs < retentionMs,
+    );
+    return new Set(recent.map(([id]) => id));
   }
 
-  /** Notes where a part is sent. */
-  note(partId: string, upstreamId: UpstreamId, nowMs: number): void {
-    const engines = this.#places.get(partId) ?? new Map<UpstreamId, number>();
-    for (const [id, atMs] of engines) if (nowMs - atMs >= heldMs) engines.delete(id);
+  /** Records that a part is sent to an engine. */
+  recordSent(partId: string, upstreamId: UpstreamId, nowMs: number): void {
+    const engines = this.#enginesByPart.get(partId) ?? new Map<UpstreamId, number>();
+    for (const [id, atMs] of engines) if (nowMs - atMs >= retentionMs) engines.delete(id);
     engines.set(upstreamId, nowMs);
-    this.#places.delete(partId);
-    this.#places.set(partId, engines);
-    const [oldest] = this.#places.keys();
-    if (this.#places.size > maxParts && oldest !== undefined) this.#places.delete(oldest);
+    this.#enginesByPart.delete(partId);
+    this.#enginesByPart.set(partId, engines);
+    const [oldest] = this.#enginesByPart.keys();
+    if (this.#enginesByPart.size > maxParts && oldest !== undefined)
+      this.#enginesByPart.delete(oldest);
   }
 
-  /** Forgets all that an engine held: it has started again. */
-  forget(upstreamId: UpstreamId): void {
-    for (const engines of this.#places.values()) engines.delete(upstreamId);
+  /** Removes an engine from all parts, since its cache is empty after a restart. */
+  removeEngine(upstreamId: UpstreamId): void {
+    for (const engines of this.#enginesByPart.values()) engines.delete(upstreamId);
   }
 }
--- a/packages/forwarding/src/_lib/PartPlaces/test.ts
+++ b/packages/forwarding/src/_lib/PartPlaces/test.ts
@@ -1,36 +1,37 @@
 import test from 'ava';
 import type { UpstreamId } from '@acaciacrank/base';
-import { PartPlaces } from './index.js';
+import { PromptPartLocations } from './index.js';
 
 const [first, second] = ['e1', 'e2'] as UpstreamId[] as [UpstreamId, UpstreamId];
 
-test('a part is held by each engine that it was sent to lately', (t) => {
-  const places = new PartPlaces();
-  places.note('part', first, 0);
-  places.note('part', second, 15_000);
-  t.deepEqual([...places.holders('part', 16_000)], [first, second]);
-  t.deepEqual([...places.holders('part', 21_000)], [second]);
-  t.deepEqual([...places.holders('part', 40_000)], []);
-  t.deepEqual([...places.holders('other', 0)], []);
+test('a part is located at each engine that it was recently sent to', (t) => {
+  const locations = new PromptPartLocations();
+  locations.recordSent('part', first, 0);
+  locations.recordSent('part', second, 15_000);
+  t.deepEqual([...locations.enginesWith('part', 16_000)], [first, second]);
+  t.deepEqual([...locations.enginesWith('part', 21_000)], [second]);
+  t.deepEqual([...locations.enginesWith('part', 40_000)], []);
+  t.deepEqual([...locations.enginesWith('other', 0)], []);
 });
 
-// Every request has a part of its own. Remembered for good, they would fill the memory of an instance.
-test('parts that were used longest ago are forgotten', (t) => {
-  const places = new PartPlaces();
-  places.note('oldest', first, 0);
-  places.note('used again', first, 0);
-  for (let part = 0; part < 4_094; part += 1) places.note(`part ${part}`, first, 1);
-  places.note('used again', first, 2);
-  places.note('one more', first, 3);
-  t.is(places.holders('oldest', 3).size, 0);
-  t.is(places.holders('used again', 3).size, 1);
+// Every request has a part that no other request uses. Without eviction they would fill the memory
+// of an instance.
+test('the least recently used parts are evicted', (t) => {
+  const locations = new PromptPartLocations();
+  locations.recordSent('oldest', first, 0);
+  locations.recordSent('used again', first, 0);
+  for (let part = 0; part < 4_094; part += 1) locations.recordSent(`part ${part}`, first, 1);
+  locations.recordSent('used again', first, 2);
+  locations.recordSent('one more', first, 3);
+  t.is(locations.enginesWith('oldest', 3).size, 0);
+  t.is(locations.enginesWith('used again', 3).size, 1);
 });
 
-// Guards against prompts that are sent to an engine for parts that its former run held.
-test('an engine that has started again holds nothing', (t) => {
-  const places = new PartPlaces();
-  places.note('part', first, 0);
-  places.note('part', second, 0);
-  places.forget(first);
-  t.deepEqual([...places.holders('part', 1)], [second]);
+// Guards against sending prompts to an engine because of parts that were cached before its restart.
+test('a restarted engine has no parts', (t) => {
+  const locations = new PromptPartLocations();
+  locations.recordSent('part', first, 0);
+  locations.recordSent('part', second, 0);
+  locations.removeEngine(first);
+  t.deepEqual([...locations.enginesWith('part', 1)], [second]);
 });
--- a/packages/forwarding/src/_lib/Upstream/index.ts
+++ b/packages/forwarding/src/_lib/Upstream/index.ts
@@ -1,5 +1,5 @@
 /**
- * One upstream: its connections, what this instance has under way there, and how it fares.
+ * One upstream: its connections, the requests in progress there, and its health.
  */
 import type { Clock, UpstreamId } from '@acaciacrank/base';
 import { ForeignQueue, type EngineWork } from '@acaciacrank/routing';
@@ -7,66 +7,75 @@
 import { UpstreamConnection } from '../UpstreamConnection/index.js';
 import { UpstreamLimit, unshared, type LimitSharing } from '../UpstreamLimit/index.js';
 import {
-  failuresToLeaveOut,
-  firstLeftOutMs,
-  longestLeftOutMs,
-  silenceMs,
+  failuresToEject,
+  initialEjectionMs,
+  maxEjectionMs,
+  upstreamInactivityMs,
 } from '../limits/index.js';
 
-/** What an engine reads for a request, as estimated when it was sent. */
-export interface Reading {
+/** Estimate, made when a request is sent, of the engine's work to process the prompt (prefill). */
+export interface PrefillEstimate {
   readonly expectedMs: number;
   readonly promptTokens: number;
   /** Tokens of the prompt that no other request shares. */
   readonly newTokens: number;
-  /** Whether the engine is known to hold all the others. */
-  readonly isHeld: boolean;
+  /** Whether the engine is known to have the remaining (shared) tokens in its cache. */
+  readonly isSharedCached: boolean;
 }
 
-/** One request under way at an upstream. */
-export interface Send {
+/** A request in progress at an upstream. */
+export interface InFlightRequest {
   readonly sentMs: number;
-  /** When the upstream last sent something for it, or when it was sent. */
-  heardMs: number;
-  readonly reading: Reading | undefined;
-  /** Reading that this instance had ordered there before it, in milliseconds. */
-  readonly aheadMs: number;
-  /** Whether its answer has begun, so that the prompt is read. */
-  hasBegun: boolean;
-  /** The longest time between two parts of its answer, in milliseconds. */
+  /** When the upstream last sent data for the request; initially when the request was sent. */
+  lastReceivedMs: number;
+  readonly prefill: PrefillEstimate | undefined;
+  /**
+   * Prefill work that this instance had already queued there when the request was sent, in
+   * milliseconds.
+   */
+  readonly queuedAheadMs: number;
+  /** Whether the first event of the response has arrived, so that prefill is complete. */
+  hasFirstEvent: boolean;
+  /** The longest time between two chunks of the response, in milliseconds. */
   longestGapMs: number;
 }
 
-type UnreadSend = Send & { readonly reading: Reading };
+type PrefillingRequest = InFlightRequest & { readonly prefill: PrefillEstimate };
 
-function isUnread(send: Send): send is UnreadSend {
-  return send.reading !== undefined && !send.hasBegun;
+function isPrefilling(inFlightRequest: InFlightRequest): inFlightRequest is PrefillingRequest {
+  return inFlightRequest.prefill !== undefined && !inFlightRequest.hasFirstEvent;
 }
 
-/** How much longer than expected a prompt has waited for its first event. */
-function excessMs({ reading, sentMs, aheadMs }: UnreadSend, nowMs: number): number {
-  return nowMs - sentMs - aheadMs - reading.expectedMs;
+/**
+ * Returns how much longer than expected a prompt has been waiting for its first event, in
+ * milliseconds.
+ */
+function prefillDelayMs(
+  { prefill, sentMs, queuedAheadMs }: PrefillingRequest,
+  nowMs: number,
+): number {
+  return nowMs - sentMs - queuedAheadMs - prefill.expectedMs;
 }
 
-/** An upstream in use. */
+/** An upstream with its connections and state. */
 export class Upstream implements AsyncDisposable, EngineWork {
   record: UpstreamRecord;
-  /** Whether it may get new requests, as far as the store says. */
+  /** Whether the upstream is draining according to the store, so that it gets no new requests. */
   isLeaving: boolean;
-  /** The last load that it reported, and when. */
+  /** The load that it last reported, with the time of the report. */
   load: { readonly report: ReportedLoad; readonly atMs: number } | undefined;
   /** The request rate that it accepts from all instances combined. */
   readonly limit: UpstreamLimit;
-  readonly sends = new Set<Send>();
+  readonly inFlight = new Set<InFlightRequest>();
   readonly #clock: Clock;
   readonly #connectionShare: () => number;
   readonly #idle: UpstreamConnection[] = [];
   readonly #open = new Set<UpstreamConnection>();
-  readonly #foreign = new ForeignQueue();
-  #failuresInRow = 0;
-  #leftOutMs = 0;
-  #leftOutUntilMs = 0;
-  #heardMs = 0;
+  readonly #foreignQueue = new ForeignQueue();
+  #consecutiveFailures = 0;
+  #ejectionMs = 0;
+  #ejectedUntilMs = 0;
+  #lastReceivedMs = 0;
 
   /**
    * @param connectionShare - returns how many connections, idle ones included, this instance may
@@ -89,29 +98,35 @@
     return this.record.id;
   }
 
-  /** Reading that is queued here, this instance's own and what it guesses of others', in milliseconds. */
+  /**
+   * Prefill work queued here, in milliseconds: that of this instance plus an estimate for other
+   * instances.
+   */
   get backlogMs(): number {
     const nowMs = this.#clock.monotonicMs();
-    const overdueMs = this.#unread().map((send) => excessMs(send, nowMs));
-    return this.#ownBacklogMs() + this.#foreign.estimateMs(nowMs, Math.max(0, ...overdueMs));
+    const delaysMs = this.#prefilling().map((inFlightRequest) =>
+      prefillDelayMs(inFlightRequest, nowMs),
+    );
+    return this.#ownBacklogMs() + this.#foreignQueue.estimateMs(nowMs, Math.max(0, ...delaysMs));
   }
 
-  /** Requests of this instance under way here. */
+  /** Number of this instance's requests in progress here. */
   get running(): number {
-    return this.sends.size;
+    return this.inFlight.size;
   }
 
-  /** `IP:PORT` of this upstream. */
   get address(): string {
     return `${this.record.ip}:${this.record.port}`;
   }
 
-  /** Whether it should get requests only where no other can. */
-  isLeftOut(nowMs: number): boolean {
-    return nowMs < this.#leftOutUntilMs || this.#isSilent(nowMs);
+  /** Whether it should get requests only if no other upstream is available. */
+  isEjected(nowMs: number): boolean {
+    return nowMs < this.#ejectedUntilMs || this.#isUnresponsive(nowMs);
   }
 
-  /** Whether the rate limit and the connection limit let this instance send it a request now. */
+  /**
+   * Whether the rate limit and the connection limit allow this instance to send it a request now.
+   */
   get hasRoom(): boolean {
     return this.limit.waitMs === 0 && this.#hasFreeConnection;
   }
@@ -120,8 +135,8 @@
     return this.#idle.length > 0 || this.#open.size < this.#connectionShare();
   }
 
-  /** Takes a connection for one request. */
-  takeConnection(): UpstreamConnection {
+  /** Takes a connection from the pool, or creates one, for a single request. */
+  acquireConnection(): UpstreamConnection {
     const idle = this.#idle.pop();
     if (idle !== undefined) return idle;
     const connection = new UpstreamConnection(this.address);
@@ -130,72 +145,80 @@
   }
 
   /**
-   * Puts a connection back, or drops it.
+   * Returns a connection to the pool, or closes it.
    *
-   * Guards against bytes that belong to no request: a connection on which an answer went wrong may
-   * deliver the rest of it to the next request, so it is never used again.
+   * Guards against leftover bytes: a connection on which a response failed may deliver the rest of
+   * it to the next request, so it is never reused.
    */
-  returnConnection(connection: UpstreamConnection, isSound: boolean): void {
+  releaseConnection(connection: UpstreamConnection, isReusable: boolean): void {
     // The share may have shrunk since the connection was opened.
     const isWithinShare = this.#open.size <= this.#connectionShare();
-    if (isSound && isWithinShare && this.#open.has(connection)) {
+    if (isReusable && isWithinShare && this.#open.has(connection)) {
       this.#idle.push(connection);
       return;
     }
     this.#open.delete(connection);
-    connection.drop();
+    connection.destroy();
   }
 
-  /** Notes that a request is sent there. */
-  begin(reading: Reading | undefined): Send {
+  /** Records that a request is sent here. */
+  begin(prefill: PrefillEstimate | undefined): InFlightRequest {
     const nowMs = this.#clock.monotonicMs();
-    const send = {
+    const inFlightRequest = {
       sentMs: nowMs,
-      heardMs: nowMs,
-      reading,
-      aheadMs: this.#ownBacklogMs(),
-      hasBegun: false,
+      lastReceivedMs: nowMs,
+      prefill,
+      queuedAheadMs: this.#ownBacklogMs(),
+      hasFirstEvent: false,
       longestGapMs: 0,
     };
-    this.sends.add(send);
+    this.inFlight.add(inFlightRequest);
     this.limit.recordSend();
-    return send;
+    return inFlightRequest;
   }
 
-  /** Notes that something came for a request; its first event ends its reading. */
-  hear(send: Send, hasBegun: boolean): void {
+  /** Records that data for a request arrived; the first event ends its prefill. */
+  recordReceived(inFlightRequest: InFlightRequest, hasFirstEvent: boolean): void {
     const nowMs = this.#clock.monotonicMs();
-    if (hasBegun && isUnread(send)) this.#foreign.observe(excessMs(send, nowMs), nowMs);
-    if (send.hasBegun) send.longestGapMs = Math.max(send.longestGapMs, nowMs - send.heardMs);
-    send.hasBegun ||= hasBegun;
-    send.heardMs = nowMs;
-    this.#heardMs = nowMs;
+    if (hasFirstEvent && isPrefilling(inFlightRequest))
+      this.#foreignQueue.observe(prefillDelayMs(inFlightRequest, nowMs), nowMs);
+    if (inFlightRequest.hasFirstEvent)
+      inFlightRequest.longestGapMs = Math.max(
+        inFlightRequest.longestGapMs,
+        nowMs - inFlightRequest.lastReceivedMs,
+      );
+    inFlightRequest.hasFirstEvent ||= hasFirstEvent;
+    inFlightRequest.lastReceivedMs = nowMs;
+    this.#lastReceivedMs = nowMs;
   }
 
-  /** Notes that a request has ended. */
-  end(send: Send): void {
-    this.sends.delete(send);
+  /** Records that a request has ended. */
+  end(inFlightRequest: InFlightRequest): void {
+    this.inFlight.delete(inFlightRequest);
   }
 
-  /** Notes that a request went well there. */
-  succeed(): void {
-    this.#failuresInRow = 0;
-    this.#leftOutMs = 0;
-    this.#leftOutUntilMs = 0;
+  /** Records a successful request, which resets failures and ejection. */
+  recordSuccess(): void {
+    this.#consecutiveFailures = 0;
+    this.#ejectionMs = 0;
+    this.#ejectedUntilMs = 0;
   }
 
-  /** Notes that a request failed there by the upstream's fault; returns whether it is left out now. */
-  fail(): boolean {
-    this.#failuresInRow += 1;
-    if (this.#failuresInRow < failuresToLeaveOut) return false;
-    this.leaveOut();
+  /**
+   * Records a request that failed because of the upstream; returns whether the upstream was
+   * ejected.
+   */
+  recordFailure(): boolean {
+    this.#consecutiveFailures += 1;
+    if (this.#consecutiveFailures < failuresToEject) return false;
+    this.eject();
     return true;
   }
 
-  /** Leaves the upstream out for a while, longer each time in a row. */
-  leaveOut(): void {
-    this.#leftOutMs = Math.min(longestLeftOutMs, Math.max(firstLeftOutMs, 2 * this.#leftOutMs));
-    this.#leftOutUntilMs = this.#clock.monotonicMs() + this.#leftOutMs;
+  /** Ejects the upstream temporarily, for longer with each ejection in a row. */
+  eject(): void {
+    this.#ejectionMs = Math.min(maxEjectionMs, Math.max(initialEjectionMs, 2 * this.#ejectionMs));
+    this.#ejectedUntilMs = this.#clock.monotonicMs() + this.#ejectionMs;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -205,23 +228,24 @@
     await Promise.all(connections.map(({ client }) => client.close()));
   }
 
-  /** Reading that this instance has ordered here and that has not ended, in milliseconds. */
+  /** Prefill work that this instance has queued here and that is not complete, in milliseconds. */
   #ownBacklogMs(): number {
-    return this.#unread().reduce((sumMs, { reading }) => sumMs + reading.expectedMs, 0);
+    return this.#prefilling().reduce((sumMs, { prefill }) => sumMs + prefill.expectedMs, 0);
   }
 
-  /** Requests whose prompts are being read, or wait for that. */
-  #unread(): readonly UnreadSend[] {
-    return [...this.sends].filter(isUnread);
+  /** Requests whose prompts are being processed or wait for it. */
+  #prefilling(): readonly PrefillingRequest[] {
+    return [...this.inFlight].filter(isPrefilling);
   }
 
   /**
-   * Guards against an upstream that went dark: connections stay open and say nothing for good. It
-   * shows as requests that wait while nothing at all comes from there.
+   * Guards against an upstream that stops responding without closing its connections: requests keep
+   * waiting while nothing at all arrives from it.
    */
-  #isSilent(nowMs: number): boolean {
-    if (nowMs - this.#heardMs < silenceMs) return false;
-    for (const send of this.sends) if (nowMs - send.heardMs >= silenceMs) return true;
+  #isUnresponsive(nowMs: number): boolean {
+    if (nowMs - this.#lastReceivedMs < upstreamInactivityMs) return false;
+    for (const inFlightRequest of this.inFlight)
+      if (nowMs - inFlightRequest.lastReceivedMs >= upstreamInactivityMs) return true;
     return false;
   }
 }
--- a/packages/forwarding/src/_lib/Upstream/test.ts
+++ b/packages/forwarding/src/_lib/Upstream/test.ts
@@ -5,9 +5,14 @@
   type ServiceName,
   type UpstreamId,
 } from '@acaciacrank/base';
-import { Upstream, type Reading } from './index.js';
+import { Upstream, type PrefillEstimate } from './index.js';
 
-const reading: Reading = { expectedMs: 100, promptTokens: 9_000, newTokens: 3_000, isHeld: true };
+const prefill: PrefillEstimate = {
+  expectedMs: 100,
+  promptTokens: 9_000,
+  newTokens: 3_000,
+  isSharedCached: true,
+};
 
 function create() {
   const clock = new ManualClock();
@@ -23,26 +28,27 @@
   return { clock, upstream: new Upstream(record, clock) };
 }
 
-test('prompts that are not read yet are the backlog', async (t) => {
+test('prompts without a first event count as backlog', async (t) => {
   const { clock, upstream } = create();
   t.is(upstream.backlogMs, 0);
-  const first = upstream.begin(reading);
-  upstream.begin(reading);
+  const first = upstream.begin(prefill);
+  upstream.begin(prefill);
   upstream.begin(undefined);
   t.is(upstream.backlogMs, 200);
   await clock.advance(100);
-  upstream.hear(first, true);
+  upstream.recordReceived(first, true);
   t.is(upstream.backlogMs, 100);
 });
 
-// Another instance has sent a long prompt to the engine. This one sees nothing of it but that its own
-// prompt does not begin; it went on sending there, while other engines had nothing to read.
-test('a prompt that is overdue counts as a queue of others', async (t) => {
+// Another instance has sent a long prompt to the engine. This instance notices only that its own
+// prompt does not start, and without the estimate it kept sending there while other engines were
+// idle.
+test('an overdue prompt is attributed to a queue of other instances', async (t) => {
   const { clock, upstream } = create();
-  const send = upstream.begin(reading);
+  const inFlightRequest = upstream.begin(prefill);
   await clock.advance(600);
   t.is(upstream.backlogMs, 600);
-  upstream.hear(send, true);
+  upstream.recordReceived(inFlightRequest, true);
   t.true(upstream.backlogMs > 200);
   await clock.advance(3_000);
   t.true(upstream.backlogMs < 10);
--- a/packages/forwarding/src/_lib/UpstreamConnection/index.ts
+++ b/packages/forwarding/src/_lib/UpstreamConnection/index.ts
@@ -1,29 +1,32 @@
 /**
- * One connection to an upstream, for one request at a time.
+ * One connection to an upstream, used by one request at a time.
  */
 import { buildConnector, Client } from 'undici';
-import { connectLimitMs, idleConnectionMs, longestIdleConnectionMs } from '../limits/index.js';
+import { connectTimeoutMs, keepAliveTimeoutMs, maxKeepAliveTimeoutMs } from '../limits/index.js';
 
-/** A connection that opens with its first request, and again when it was closed in between. */
+/**
+ * A connection that is opened by its first request, and reopened by the next one if it was closed.
+ */
 export class UpstreamConnection {
   readonly client: Client;
   #wasReset = false;
 
   /** @param address - `IP:PORT` of the upstream */
   constructor(address: string) {
-    const connect = buildConnector({ timeout: connectLimitMs });
+    const connect = buildConnector({ timeout: connectTimeoutMs });
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: idleConnectionMs,
-      keepAliveMaxTimeout: longestIdleConnectionMs,
+      keepAliveTimeout: keepAliveTimeoutMs,
+      keepAliveMaxTimeout: maxKeepAliveTimeoutMs,
       connect: (options, callback) => {
         this.#wasReset = false;
         connect(options, (...result) => {
           const [, socket] = result;
           socket?.once('error', (error: NodeJS.ErrnoException) => {
-            // The library's own errors, also that for an orderly end, name no system call.
+            // Errors raised by undici itself, including the one for an orderly close, have no
+            // `syscall`.
             if (error.syscall !== undefined) this.#wasReset = true;
           });
           callback(...result);
@@ -33,20 +36,20 @@
   }
 
   /**
-   * Whether the operating system ended the connection by an error.
+   * Whether the operating system closed the connection with an error.
    *
-   * Guards against an answer without a length, which ends with its connection: the HTTP library takes
-   * a reset for such an end too, so that a cut body looks whole. An orderly end
-   * raises none.
+   * Guards against a truncated response that looks complete: for a body without a length, which
+   * ends when the connection is closed, undici treats a reset like an orderly close. An orderly
+   * close does not set this flag.
    */
   get wasReset(): boolean {
     return this.#wasReset;
   }
 
-  /** Ends the connection at once. */
-  drop(): void {
+  /** Closes the connection immediately. */
+  destroy(): void {
     this.client.destroy().catch(() => {
-      // It is gone either way.
+      // The connection is unusable in either case.
     });
   }
 }
--- a/packages/forwarding/src/_lib/UpstreamLimit/index.ts
+++ b/packages/forwarding/src/_lib/UpstreamLimit/index.ts
@@ -1,27 +1,30 @@
 import type { Clock, InstanceId } from '@acaciacrank/base';
 import { RateShare, type RateShareOptions } from '@acaciacrank/routing';
 
-/** How a limit changed. */
+/** How a limit changed: set where there was none, changed, or removed. */
 export type LimitChange = 'limitNamed' | 'limitChanged' | 'limitWithdrawn';
 
 /** This instance's id and the instances that share the limits of upstreams. */
 export type LimitSharing = Pick<RateShareOptions, 'instanceId' | 'sharers'>;
 
-/** The limit that an answer states, and when; times are on the monotonic clock. */
+/** The limit in a response, with the times that bound its age, on the monotonic clock. */
 export interface StatedLimit {
-  /** Infinite if the answer has no limit. */
+  /** Infinite if the response has no limit. */
   readonly requestsPerSecond: number;
-  /** When the request was sent; the statement is no older than this. */
+  /** When the request was sent; the limit is not older than this. */
   readonly sentMs: number;
-  /** When the answer arrived; the statement is no newer than this. */
+  /** When the response arrived; the limit is not newer than this. */
   readonly receivedMs: number;
 }
 
-/** The request rate that an upstream accepts from all instances combined, as its answers state it. */
+/**
+ * The request rate that an upstream accepts from all instances combined, as stated in its
+ * responses.
+ */
 export class UpstreamLimit {
   readonly #share: RateShare;
   #stated: StatedLimit = { requestsPerSecond: Infinity, sentMs: -Infinity, receivedMs: -Infinity };
-  /** The known limit as last read in an answer to this instance. */
+  /** The current limit, if this instance read it in a response itself. */
   #ownStated: StatedLimit | undefined;
   #changedMs = -Infinity;
   readonly #clock: Clock;
@@ -36,7 +39,7 @@
     return this.#stated.requestsPerSecond;
   }
 
-  /** The known limit if this instance read it in an answer; undefined otherwise. */
+  /** The current limit, if this instance read it in a response itself; undefined otherwise. */
   get ownStatedLimit(): StatedLimit | undefined {
     return this.#ownStated;
   }
@@ -57,7 +60,7 @@
   }
 
   /**
-   * Applies the limit from an answer to this instance.
+   * Applies the limit from a response that this instance received.
    *
    * @returns the change; undefined if the limit stays the same
    */
@@ -81,7 +84,7 @@
   /**
    * Whether a stated limit replaces the known one.
    *
-   * Guards against answers that arrive out of order: if the order of two stated limits cannot be
+   * Guards against responses that arrive out of order: if the order of two stated limits cannot be
    * determined, the lower one applies.
    */
   #isNewest({ requestsPerSecond, sentMs, receivedMs }: StatedLimit): boolean {
@@ -105,7 +108,7 @@
   }
 }
 
-/** For an instance that shares limits with no other. */
+/** Settings for an instance that shares its limits with no other instance. */
 export const unshared: LimitSharing = {
   instanceId: 'alone' as InstanceId,
   sharers: () => ['alone' as InstanceId],
--- a/packages/forwarding/src/_lib/UpstreamLimit/test.ts
+++ b/packages/forwarding/src/_lib/UpstreamLimit/test.ts
@@ -2,10 +2,10 @@
 import { ManualClock } from '@acaciacrank/base';
 import { UpstreamLimit, unshared } from './index.js';
 
-function open() {
+function createLimit() {
   const clock = new ManualClock();
   const limit = new UpstreamLimit(clock, 'u1', unshared);
-  /** The limit in an answer that arrives now. */
+  /** The limit in a response that arrives now. */
   const state = (requestsPerSecond: number, sentMs = clock.monotonicMs()) => {
     return { requestsPerSecond, sentMs, receivedMs: clock.monotonicMs() };
   };
@@ -13,7 +13,7 @@
 }
 
 test('a limit is set, changed and removed', async (t) => {
-  const { clock, limit, state } = open();
+  const { clock, limit, state } = createLimit();
   t.is(limit.requestsPerSecond, Infinity);
   t.is(limit.update(state(Infinity, 0)), undefined);
   t.is(limit.update(state(1.5, 0)), 'limitNamed');
@@ -25,9 +25,9 @@
   t.is(limit.requestsPerSecond, Infinity);
 });
 
-// Guards against a stale answer that raises or removes a newer limit.
-test('an answer to a request sent before the last update only lowers the limit', async (t) => {
-  const { clock, limit, state } = open();
+// Guards against a stale response that raises or removes a newer limit.
+test('a response to a request sent before the last update only lowers the limit', async (t) => {
+  const { clock, limit, state } = createLimit();
   const sentMs = clock.monotonicMs();
   await clock.advance(10);
   limit.update(state(2));
@@ -40,7 +40,7 @@
 // Guards against applying a limit whose removal a peer has reported, and against applying an older limit
 // from a peer.
 test('the newest limit applies, whichever instance read it', async (t) => {
-  const { clock, limit, state } = open();
+  const { clock, limit, state } = createLimit();
   await clock.advance(1_000);
   limit.update(state(2));
   t.not(limit.ownStatedLimit, undefined);
@@ -53,7 +53,7 @@
 });
 
 test('a limit restricts the request rate', async (t) => {
-  const { clock, limit, state } = open();
+  const { clock, limit, state } = createLimit();
   limit.update(state(2));
   t.is(limit.waitMs, 500);
   await clock.advance(500);
@@ -63,8 +63,8 @@
 });
 
 // Guards against a limit that looks newer each time it is passed on between instances.
-test('the same limit from a peer leaves the time of the own answer', async (t) => {
-  const { clock, limit, state } = open();
+test('the same limit from a peer keeps the times of the own response', async (t) => {
+  const { clock, limit, state } = createLimit();
   limit.update(state(2));
   const own = limit.ownStatedLimit;
   await clock.advance(1_000);
--- a/packages/forwarding/src/_lib/chooseNamed/index.ts
+++ b/packages/forwarding/src/_lib/chooseNamed/index.ts
@@ -1,46 +1,51 @@
-/** What the directory's answer goes by. */
-export interface NamingView<Instance> {
+/** Inputs for choosing the instances in a directory response. */
+export interface DirectoryView<Instance> {
   readonly self: Instance;
-  /** Whether this instance takes requests. */
+  /** Whether this instance accepts requests. */
   readonly isReady: boolean;
-  /** Whether requests were refused here just now since the store could not be asked for tokens. */
+  /**
+   * Whether this instance recently refused requests because it could not get tokens from the store.
+   */
   readonly isShortOfTokens: boolean;
-  readonly isStoreAway: boolean;
-  /** Other instances that answer, or are only doubted so far. */
-  readonly usable: readonly Instance[];
-  /** How many other instances are known, whether or not they answer. */
+  readonly isStoreUnavailable: boolean;
+  /** Other instances that are live, or suspected but not yet removed. */
+  readonly usablePeers: readonly Instance[];
+  /** Number of other known instances, reachable or not. */
   readonly peerCount: number;
 }
 
 /**
- * Chooses whom the directory names.
+ * Chooses the instances in a directory response.
  *
- * An instance that reaches neither the store nor any other instance is most likely the one that is cut
- * off, and so is one that reaches a few and has run out of tokens. It names nobody, so that callers ask
- * another directory, which knows better: naming itself would gather them where no tokens are, and naming
- * those that it does not reach would be a guess.
+ * An instance that reaches neither the store nor any other instance is most likely partitioned from
+ * the rest. So is one that reaches only a minority of the others and has run out of tokens. It
+ * lists no instance, so that callers ask another directory that knows more: by listing itself it
+ * would collect callers where no tokens are available, and whether the instances that it does not
+ * reach are running would be a guess.
  *
- * @param view - what is known
- * @returns the instances to name; none where another directory should be asked
+ * @param view - the state of this instance and its peers
+ * @returns the instances to list; empty if callers should ask another directory
  *
  * @example
- * chooseNamed({ ...view, isReady: true, usable: [other] });
+ * chooseDirectoryInstances({ ...view, isReady: true, usablePeers: [other] });
  * //=> [self, other]
  */
-export function chooseNamed<Instance>(view: NamingView<Instance>): readonly Instance[] {
-  const { self, isReady, isShortOfTokens, usable } = view;
-  if (isCutOff(view)) return [];
-  const isWanted = isReady && (!isShortOfTokens || usable.length === 0);
-  return isWanted ? [self, ...usable] : usable;
+export function chooseDirectoryInstances<Instance>(
+  view: DirectoryView<Instance>,
+): readonly Instance[] {
+  const { self, isReady, isShortOfTokens, usablePeers } = view;
+  if (isIsolated(view)) return [];
+  const isSelfListed = isReady && (!isShortOfTokens || usablePeers.length === 0);
+  return isSelfListed ? [self, ...usablePeers] : usablePeers;
 }
 
-function isCutOff({
+function isIsolated({
   isShortOfTokens,
-  isStoreAway,
-  usable,
+  isStoreUnavailable,
+  usablePeers,
   peerCount,
-}: NamingView<unknown>): boolean {
-  if (!isStoreAway || peerCount === 0) return false;
-  const reachesFew = 2 * usable.length < peerCount;
-  return usable.length === 0 || (isShortOfTokens && reachesFew);
+}: DirectoryView<unknown>): boolean {
+  if (!isStoreUnavailable || peerCount === 0) return false;
+  const reachesMinority = 2 * usablePeers.length < peerCount;
+  return usablePeers.length === 0 || (isShortOfTokens && reachesMinority);
 }
--- a/packages/forwarding/src/_lib/limits/index.ts
+++ b/packages/forwarding/src/_lib/limits/index.ts
@@ -1,32 +1,50 @@
 /**
- * Bounds of the forwarding path, each with where its figure comes from.
+ * Timeouts and size limits for forwarding requests, with the reason for each value.
  */
 
-/** How long a connection to an upstream may take to come about, in milliseconds: links take 1 to 3. */
-export const connectLimitMs = 500;
-/** How long a kept connection may lie idle, in milliseconds, where the upstream names no time. */
-export const idleConnectionMs = 4_000;
-/** The longest idle time that an upstream may name, in milliseconds. */
-export const longestIdleConnectionMs = 30_000;
-/** Upstreams tried one after the other when none could be connected to. */
-export const maxUnsentAttempts = 3;
-/** How long a request may wait for tokens from the store, in milliseconds: two slow calls. */
-export const tokenWaitLimitMs = 1_000;
-/** An upstream that sent nothing for this long while it owed something is left out, in milliseconds. */
-export const silenceMs = 1_000;
-/** How long an upstream is left out after failures in a row, in milliseconds; doubles each time. */
-export const firstLeftOutMs = 1_000;
-/** The longest time for which an upstream is left out, in milliseconds. */
-export const longestLeftOutMs = 8_000;
-/** Failures in a row after which an upstream is left out. */
-export const failuresToLeaveOut = 2;
-/** After the store's return, lapsed upstreams are back within this time, in milliseconds. */
-export const lapsedGraceMs = 2_000;
-/** The most bytes that bodies and answers hold together: a small part of the memory of an instance. */
-export const heldBytesLimit = 64 * 1_048_576;
-/** How long a caller may read nothing while something waits for it, in milliseconds. */
-export const callerStallLimitMs = 10_000;
-/** Bytes of one event; beyond that an upstream's bytes are no events. */
+/** Timeout for connecting to an upstream, in milliseconds. Network latency is 1 to 3 ms. */
+export const connectTimeoutMs = 500;
+/**
+ * How long an idle connection is kept open, in milliseconds, if the upstream announces no
+ * keep-alive timeout.
+ */
+export const keepAliveTimeoutMs = 4_000;
+/** Upper bound for a keep-alive timeout that an upstream announces, in milliseconds. */
+export const maxKeepAliveTimeoutMs = 30_000;
+/** Maximum number of upstreams that a request is tried at while no connection can be opened. */
+export const maxConnectAttempts = 3;
+/**
+ * How long a request waits for tokens from the store, in milliseconds: the duration of two slow
+ * store calls.
+ */
+export const tokenReserveTimeoutMs = 1_000;
+/**
+ * An upstream is ejected if it has sent nothing for this long while requests are pending, in
+ * milliseconds.
+ */
+export const upstreamInactivityMs = 1_000;
+/**
+ * Duration of the first ejection of an upstream, in milliseconds; doubled for each further ejection
+ * in a row.
+ */
+export const initialEjectionMs = 1_000;
+/** Upper bound for the duration of an ejection, in milliseconds. */
+export const maxEjectionMs = 8_000;
+/** Number of consecutive failures after which an upstream is ejected. */
+export const failuresToEject = 2;
+/**
+ * How long upstreams may take to renew expired records once the store is available again, in
+ * milliseconds.
+ */
+export const expiredRecordGraceMs = 2_000;
+/**
+ * Total size of request bodies, and size of one response, held in memory: a small part of an
+ * instance's memory.
+ */
+export const maxBufferedBytes = 64 * 1_048_576;
+/** How long a caller may read nothing while data is waiting for it, in milliseconds. */
+export const callerStallTimeoutMs = 10_000;
+/** Maximum size of one event in bytes; a longer run of bytes is not treated as an event stream. */
 export const maxEventBytes = 1_048_576;
-/** Time kept for the answer on its way back, in milliseconds. */
-export const returnMarginMs = 10;
+/** Time reserved for returning the response to the caller, in milliseconds. */
+export const responseMarginMs = 10;
--- a/packages/forwarding/src/_lib/pickUpstream/index.ts
+++ b/packages/forwarding/src/_lib/pickUpstream/index.ts
@@ -1,65 +1,76 @@
 /**
- * Which upstream a request goes to.
+ * Selects the upstream for a request.
  */
 import type { FailureDomainId, Random, UpstreamId } from '@acaciacrank/base';
 import { placePrompt, type EngineModel } from '@acaciacrank/routing';
 import type { EngineTraits, PromptPart } from '../../types.js';
-import type { PartPlaces } from '../PartPlaces/index.js';
-import type { Reading, Upstream } from '../Upstream/index.js';
+import type { PromptPartLocations } from '../PartPlaces/index.js';
+import type { PrefillEstimate, Upstream } from '../Upstream/index.js';
 
-/** What a choice goes by. */
+/** Inputs of a selection. */
 export interface PickRequest {
   readonly candidates: readonly Upstream[];
-  /** Upstreams that had the request already. */
-  readonly tried: ReadonlySet<UpstreamId>;
+  /** Upstreams that the request was already sent to. */
+  readonly attemptedIds: ReadonlySet<UpstreamId>;
   readonly promptParts: readonly PromptPart[];
   readonly promptTokens: number;
-  /** What the service says of its engines. */
+  /** Properties of the service's engines from the configuration. */
   readonly engine: EngineTraits | undefined;
-  /** What was learnt of them. */
+  /** Prefill times learned from observed requests. */
   readonly model: EngineModel;
   readonly ownDomain: FailureDomainId;
-  /** Where parts were read. */
-  readonly parts: PartPlaces;
+  /** Engines that parts of prompts were sent to. */
+  readonly promptPartLocations: PromptPartLocations;
   readonly nowMs: number;
   readonly random: Random;
 }
 
-/** A choice, and what decided it. */
+/** The selected upstream and the reason for it. */
 export interface UpstreamPick {
   readonly upstream: Upstream;
-  /** Where shared parts of the prompt may be copied from; undefined for nowhere. */
+  /**
+   * Address of an engine from which the shared prompt parts can be copied; undefined if there is
+   * none.
+   */
   readonly fetchFrom: string | undefined;
-  /** What the engine will read; undefined for plain services. */
-  readonly reading: Reading | undefined;
+  /** Estimated prefill work of the engine; undefined for plain services. */
+  readonly prefill: PrefillEstimate | undefined;
+  /**
+   * For the log: the engine probably has the shared parts (`held`), it was preferred to a busier one
+   * that has them (`spilled`), or it has the lowest load (`leastBusy`).
+   */
   readonly why: 'held' | 'spilled' | 'leastBusy';
 }
 
-/** What another failure domain counts for in a plain service's load, in requests: it is 1 to 3 ms away. */
-const farRequests = 0.5;
-/** A report older than this says nothing of the load now, in milliseconds. */
-const reportAgeLimitMs = 1_000;
-/** Shared parts are copied where that takes less than this share of reading them. */
-const worthwhileCopyShare = 0.5;
-const bitsInByte = 8;
-const bitsInMegabitPerMs = 1_000;
+/**
+ * Load, in requests, that is added for a plain-service upstream in another failure domain: it is 1
+ * to 3 ms away.
+ */
+const remoteDomainPenalty = 0.5;
+/** Load reports older than this are ignored, in milliseconds. */
+const maxReportAgeMs = 1_000;
+/** Shared prompt parts are copied if that takes less than this fraction of their prefill time. */
+const maxCopyTimeShare = 0.5;
+const bitsPerByte = 8;
+const bitsPerMsPerMbps = 1_000;
 
 /**
- * Chooses an upstream.
+ * Selects an upstream for a request.
  *
- * @param request - the candidates and what is known of the request
- * @returns the choice; undefined where no candidate is left
+ * @param request - the candidates and the known properties of the request
+ * @returns the selection; undefined if no candidate is left
  *
  * @example
  * pickUpstream(request)?.upstream.id;
  */
 export function pickUpstream(request: PickRequest): UpstreamPick | undefined {
-  const withRoom = request.candidates.filter(
-    ({ id, hasRoom }) => hasRoom && !request.tried.has(id),
+  const withCapacity = request.candidates.filter(
+    ({ id, hasRoom }) => hasRoom && !request.attemptedIds.has(id),
   );
-  const sound = withRoom.filter((upstream) => !upstream.isLeftOut(request.nowMs));
-  // With all of them left out the fault may be the instance's own, so any is better than none.
-  const usable = sound.length > 0 ? sound : withRoom;
+  const healthy = withCapacity.filter((upstream) => !upstream.isEjected(request.nowMs));
+  // If all upstreams are ejected, the cause may be this instance itself, so ejected ones are used
+  // as well.
+  const usable = healthy.length > 0 ? healthy : withCapacity;
   const [first] = usable;
   if (first === undefined) return undefined;
   const shared = lastSharedPart(request.promptParts);
@@ -67,7 +78,10 @@
   return pickEngine(usable, shared, request);
 }
 
-/** The last part that other requests may share; the last part of all belongs to the request. */
+/**
+ * Returns the last part that other requests may share. The final part of a prompt belongs to the
+ * request alone.
+ */
 function lastSharedPart(parts: readonly PromptPart[]): PromptPart | undefined {
   return parts.length > 1 ? parts[parts.length - 2] : parts[0];
 }
@@ -77,38 +91,38 @@
   shared: PromptPart,
   request: PickRequest,
 ): UpstreamPick | undefined {
-  const { promptTokens, parts, model, nowMs } = request;
+  const { promptTokens, promptPartLocations, model, nowMs } = request;
   const ownTokens = Math.min(request.promptParts.at(-1)?.tokens ?? 0, promptTokens);
   const sharedTokens = promptTokens - ownTokens;
   const ownMs = model.readMs(ownTokens, sharedTokens);
   const sharedMs = Math.max(0, model.readMs(promptTokens, 0) - ownMs);
-  const holders = parts.holders(shared.id, nowMs);
-  const place = placePrompt({ key: shared.id, sharedMs, holders }, usable);
-  if (place === undefined) return undefined;
-  const { engine: upstream, holder } = place;
-  parts.note(shared.id, upstream.id, nowMs);
-  const copySharedMs = copyMs(sharedTokens, request.engine);
-  const isCopied = holder !== undefined && copySharedMs < worthwhileCopyShare * sharedMs;
-  const isHeld = holders.has(upstream.id);
-  const extraMs = isCopied ? copySharedMs : sharedMs;
+  const holders = promptPartLocations.enginesWith(shared.id, nowMs);
+  const placement = placePrompt({ key: shared.id, sharedMs, holders }, usable);
+  if (placement === undefined) return undefined;
+  const { engine: upstream, holder } = placement;
+  promptPartLocations.recordSent(shared.id, upstream.id, nowMs);
+  const sharedCopyMs = copyMs(sharedTokens, request.engine);
+  const isCopied = holder !== undefined && sharedCopyMs < maxCopyTimeShare * sharedMs;
+  const isSharedCached = holders.has(upstream.id);
+  const sharedPartMs = isCopied ? sharedCopyMs : sharedMs;
   return {
     upstream,
     fetchFrom: isCopied ? holder.address : undefined,
-    reading: {
-      expectedMs: ownMs + (isHeld ? 0 : extraMs),
+    prefill: {
+      expectedMs: ownMs + (isSharedCached ? 0 : sharedPartMs),
       promptTokens,
       newTokens: ownTokens,
-      isHeld,
+      isSharedCached,
     },
     why: holder === undefined ? 'held' : 'spilled',
   };
 }
 
-/** How long it takes to copy tokens from one engine to another, in milliseconds. */
+/** Returns the time needed to copy tokens from one engine to another, in milliseconds. */
 function copyMs(tokens: number, engine: EngineTraits | undefined): number {
   const { cacheBytesPerToken, copyMbps } = engine ?? {};
   if (cacheBytesPerToken === undefined || copyMbps === undefined) return Infinity;
-  return (tokens * cacheBytesPerToken * bitsInByte) / (copyMbps * bitsInMegabitPerMs);
+  return (tokens * cacheBytesPerToken * bitsPerByte) / (copyMbps * bitsPerMsPerMbps);
 }
 
 function pickLeastBusy(
@@ -116,17 +130,17 @@
   request: PickRequest,
 ): UpstreamPick | undefined {
   const { ownDomain, nowMs, random } = request;
-  const costed = usable.map((upstream) => {
+  const ranked = usable.map((upstream) => {
     const reported =
-      upstream.load !== undefined && nowMs - upstream.load.atMs < reportAgeLimitMs
+      upstream.load !== undefined && nowMs - upstream.load.atMs < maxReportAgeMs
         ? upstream.load.report.waiting + upstream.load.report.running / 2
         : 0;
-    const distance = upstream.record.failureDomain === ownDomain ? 0 : farRequests;
-    return { upstream, cost: upstream.sends.size + reported + distance + random() / 4 };
+    const domainPenalty = upstream.record.failureDomain === ownDomain ? 0 : remoteDomainPenalty;
+    return { upstream, cost: upstream.inFlight.size + reported + domainPenalty + random() / 4 };
   });
-  costed.sort((a, b) => a.cost - b.cost);
-  const [best] = costed;
+  ranked.sort((a, b) => a.cost - b.cost);
+  const [best] = ranked;
   return (
-    best && { upstream: best.upstream, fetchFrom: undefined, reading: undefined, why: 'leastBusy' }
+    best && { upstream: best.upstream, fetchFrom: undefined, prefill: undefined, why: 'leastBusy' }
   );
 }
--- a/packages/forwarding/src/_lib/planStop/index.ts
+++ b/packages/forwarding/src/_lib/planStop/index.ts
@@ -1,32 +1,38 @@
 /**
- * How long a planned stop takes requests, and when it ends.
+ * Schedule of a graceful shutdown: until when requests are accepted, and when it ends.
  */
 
-/** The part of a planned stop's time that is kept for ending the process, in milliseconds. */
-const endMarginMs = 700;
-/** Callers keep a directory answer for up to three times its time; new ones come for so long. */
-const keepFactor = 3;
+/** Part of the shutdown time that is reserved for ending the process, in milliseconds. */
+const processExitMarginMs = 700;
 /**
- * The most of a stop's time in which requests are taken. A stream that is taken later may not end
- * before the process does: it shows as a stream that is cut at the very end of the stop.
+ * Callers use a directory response for up to three times its TTL, so new requests arrive for that
+ * long.
  */
-const acceptShare = 0.35;
+const directoryCacheFactor = 3;
+/**
+ * Maximum share of the shutdown time in which requests are accepted. A stream accepted later may
+ * still be running when the process ends; it is then cut off at the very end of the shutdown.
+ */
+const maxAcceptShare = 0.35;
 
-/** The times of a planned stop, in milliseconds from its beginning. */
-export interface StopPlan {
-  /** Until then requests are served, later ones are refused as not run. */
+/** Schedule of a graceful shutdown, in milliseconds from its start. */
+export interface ShutdownPlan {
+  /**
+   * Until then requests are served; later ones are refused with the statement that they were not
+   * run.
+   */
   readonly acceptMs: number;
-  /** Then the process ends, whatever is under way. */
+  /** The process ends then, even if requests are still in progress. */
   readonly endMs: number;
 }
 
 /**
- * Plans a stop.
+ * Plans a graceful shutdown.
  *
- * @param stopLimitMs - after this the process is killed
- * @param directoryKeepMs - how long callers keep the directory's answer
+ * @param stopLimitMs - the time after which the process is killed, in milliseconds
+ * @param directoryTtlMs - how long callers cache a directory response, in milliseconds
  */
-export function planStop(stopLimitMs: number, directoryKeepMs: number): StopPlan {
-  const acceptMs = Math.min(keepFactor * directoryKeepMs, acceptShare * stopLimitMs);
-  return { acceptMs, endMs: stopLimitMs - endMarginMs };
+export function planShutdown(stopLimitMs: number, directoryTtlMs: number): ShutdownPlan {
+  const acceptMs = Math.min(directoryCacheFactor * directoryTtlMs, maxAcceptShare * stopLimitMs);
+  return { acceptMs, endMs: stopLimitMs - processExitMarginMs };
 }
--- a/packages/forwarding/src/_lib/openExchange/index.ts
+++ b/packages/forwarding/src/_lib/sendRequest/index.ts
@@ -1,5 +1,5 @@
 /**
- * Sends one request to one upstream and reads the head of its answer.
+ * Sends one request to one upstream and reads the status and headers of the response.
  */
 import { forEachRawHeader } from '@acaciacrank/callers';
 import type { Client } from 'undici';
@@ -7,7 +7,7 @@
 import type { ForwardCodec, RawHeaders } from '../../ForwardCodec/index.js';
 import type { AnswerHead } from '../../types.js';
 
-/** One request as it goes to an upstream. */
+/** A request in the form in which it is sent to an upstream. */
 export interface UpstreamRequest {
   readonly method: string;
   readonly path: string;
@@ -16,18 +16,21 @@
   readonly signal: AbortSignal;
 }
 
-/** An answer whose head has come. */
-export interface Exchange {
+/** A response whose status and headers have been received. */
+export interface UpstreamResponse {
   readonly status: number;
   readonly headers: RawHeaders;
   readonly head: AnswerHead;
   readonly body: Readable;
-  /** Whether the answer says itself where it ends; else its connection's end is its own. */
+  /**
+   * Whether the headers frame the body (`content-length` or `transfer-encoding`); otherwise the
+   * body ends when the connection is closed.
+   */
   readonly isFramed: boolean;
 }
 
-/** Codes of errors that end a connect call; no byte of the request has left then. */
-const connectCodes = new Set([
+/** Error codes of a failed connection attempt; no byte of the request has been sent then. */
+const connectErrorCodes = new Set([
   'UND_ERR_CONNECT_TIMEOUT',
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -38,17 +41,17 @@
 /**
  * Sends a request.
  *
- * @param client - the connection to use; nothing else is under way on it
- * @param request - what to send
- * @param codec - reads the answer's head
- * @throws the connection's error; {@link wasNeverSent} tells whether the request can have run
+ * @param client - the connection to use, without any other request in progress
+ * @param request - the request
+ * @param codec - parses the response headers
+ * @throws the connection's error; {@link wasNeverSent} tells whether the request may have run
  */
-export async function openExchange(
+export async function sendRequest(
   client: Client,
   request: UpstreamRequest,
   codec: ForwardCodec,
-): Promise<Exchange> {
-  const answer = await client.request({
+): Promise<UpstreamResponse> {
+  const response = await client.request({
     method: request.method,
     path: request.path,
     headers: request.headers,
@@ -56,22 +59,22 @@
     signal: request.signal,
     responseHeaders: 'raw',
   });
-  const headers = answer.headers as unknown as string[];
+  const headers = response.headers as unknown as string[];
   return {
-    status: answer.statusCode,
+    status: response.statusCode,
     headers,
-    head: codec.readAnswer(answer.statusCode, headers),
-    body: answer.body,
+    head: codec.readAnswer(response.statusCode, headers),
+    body: response.body,
     isFramed: isFramed(headers),
   };
 }
 
 function isFramed(headers: RawHeaders): boolean {
-  let hasFrame = false;
+  let hasFraming = false;
   forEachRawHeader(headers, (name) => {
-    hasFrame ||= name === 'content-length' || name === 'transfer-encoding';
+    hasFraming ||= name === 'content-length' || name === 'transfer-encoding';
   });
-  return hasFrame;
+  return hasFraming;
 }
 
 /**
@@ -84,5 +87,5 @@
 export function wasNeverSent(error: unknown): boolean {
   if (!(error instanceof Error)) return false;
   const { code, syscall } = error as { code?: unknown; syscall?: unknown };
-  return syscall === 'connect' || (typeof code === 'string' && connectCodes.has(code));
+  return syscall === 'connect' || (typeof code === 'string' && connectErrorCodes.has(code));
 }
--- a/packages/forwarding/src/createForwardServer/index.ts
+++ b/packages/forwarding/src/createForwardServer/index.ts
@@ -5,21 +5,21 @@
 /** Options of {@link createForwardServer}. */
 export interface CreateForwardServerOptions {
   handler: Pick<ForwardHandler, 'handle'>;
-  /** Called for bytes that are no request. */
+  /** Called for bytes that are not a valid HTTP request. */
   onBadRequest: () => void;
 }
 
-/** Header bytes taken at most; the configuration bounds proper callers to less. */
+/** Maximum size of the request headers in bytes; the configured limit for callers is lower. */
 const maxHeaderBytes = 65_536;
-/** How long a whole request may take to arrive, in milliseconds. */
-const requestLimitMs = 60_000;
-/** Connections that wait to be accepted: a burst of callers opens many at once. */
+/** Timeout for receiving a complete request, in milliseconds. */
+const requestTimeoutMs = 60_000;
+/** Maximum number of connections waiting to be accepted; a burst of callers opens many at once. */
 export const listenBacklog = 1_024;
 
 /**
- * The HTTP server that callers of forwarded requests speak to.
+ * Creates the HTTP server for callers' requests.
  *
- * @param options - the handler behind it
+ * @param options - the request handler and a callback
  * @returns a server that does not listen yet
  *
  * @example
@@ -27,9 +27,10 @@
  */
 export function createForwardServer(options: CreateForwardServerOptions): Server {
   const server = createServer(
-    { maxHeaderSize: maxHeaderBytes, requestTimeout: requestLimitMs },
+    { maxHeaderSize: maxHeaderBytes, requestTimeout: requestTimeoutMs },
     (request, response) => {
-      // A write that races with the caller's leaving shows here; the close event ends the work.
+      // A write after the caller disconnected raises this error; the close event ends the
+      // processing.
       response.on('error', () => undefined);
       void options.handler.handle(request, response);
     },
@@ -42,7 +43,7 @@
   return server;
 }
 
-/** Takes over what a configuration says of callers. */
+/** Applies the configured limits for callers to a server. */
 export function applyCallerLimits(server: Server, limits: CallerLimits): void {
   server.headersTimeout = limits.headerTimeoutMs;
   server.keepAliveTimeout = limits.idleTimeoutMs;
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Forwarding of opaque requests, plain and streamed, to upstreams of the caller's route.
+ * Forwards opaque requests, plain and streamed, to the upstreams of the matching route.
  */
 export type * from './types.js';
 export * from './ForwardCodec/index.js';
