--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -1,5 +1,6 @@
 /**
- * What a forwarding instance knows of routes, upstreams and requests, in the project's own words.
+ * Routes, upstreams and requests as a forwarding instance represents them, independent of a
+ * deployment's formats.
  */
 import type {
   AccountId,
@@ -10,70 +11,74 @@
 } from '@acaciacrank/base';
 
 /**
- * What may be done with a request again: `repeatable` may run more than once, `once` may not,
- * `stream` is a stream of events that may not run twice unless its route is resumable.
+ * Whether a request may be run more than once: `repeatable` may, `once` may not, and `stream`, a
+ * stream of events, may only if its route is resumable.
  */
 export type RouteKind = 'repeatable' | 'once' | 'stream';
 
-/** One of a route's services and its share of the requests. */
+/** One of a route's services, with its weight in the traffic split. */
 export interface RouteTarget {
   readonly service: ServiceName;
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and how. */
+/** The destination and handling of requests with one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a stream may go on at another upstream after its last event. */
+  /** Whether a stream may be continued at another upstream after its last event. */
   readonly isResumable: boolean;
   readonly timeoutMs: number;
-  /** Within this time an answer, or a stream's first event, is worth most. */
+  /**
+   * The target for the time to a response, or to a stream's first event; a later one is worth less.
+   */
   readonly targetLatencyMs: number;
-  /** The longest pause between events for which a stream is on time; undefined for plain answers. */
+  /**
+   * The target for the longest pause between two events of a stream; undefined for plain responses.
+   */
   readonly gapTargetMs: number | undefined;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** To how many upstreams one request may be sent. */
+  /** The maximum number of upstreams that one request may be sent to. */
   readonly maxUpstreams: number;
-  /** Whether requests need no key. */
+  /** Whether requests need no API key. */
   readonly isPublic: boolean;
 }
 
-/** What is known of a service's engines; undefined for plain services. */
+/** Properties of a service's engines, servers that run a language model. */
 export interface EngineTraits {
   readonly slots: number;
   readonly cacheTokens: number;
-  /** Tokens in one event of a stream. */
+  /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
-  /** Bytes of memory of one cached token; undefined where that is not told. */
+  /** Memory used by one cached token, in bytes; undefined if not configured. */
   readonly cacheBytesPerToken: number | undefined;
-  /** How fast engines copy memory to each other, in Mbit/s; undefined where they do not. */
+  /** Bandwidth for copying memory between engines, in Mbit/s; undefined if they do not copy. */
   readonly copyMbps: number | undefined;
 }
 
-/** A service as the configuration names it. */
+/** A service in the configuration; `engine` is undefined for plain services. */
 export interface ServiceTraits {
   readonly name: ServiceName;
-  /** Connections that one upstream takes from all instances together. */
+  /** Number of connections that one upstream accepts from all instances combined. */
   readonly maxConnections: number;
   readonly engine: EngineTraits | undefined;
 }
 
-/** A client account as the configuration names it. */
+/** A client account in the configuration. */
 export interface ForwardAccount {
   readonly accountId: AccountId;
   readonly keys: readonly string[];
-  /** Goes before the route's; undefined where the route's counts. */
+  /** Overrides the priority of the route; undefined for no override. */
   readonly priority: number | undefined;
-  /** All that the account may use; undefined where it has no limit. */
+  /** The total number of tokens that the account may use; undefined for no limit. */
   readonly prepaidTokens: number | undefined;
 }
 
-/** Bounds on what callers send. */
+/** Limits on requests from callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -81,17 +86,17 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface ForwardConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceTraits[];
   readonly limits: CallerLimits;
-  /** Undefined where requests need no keys at all. */
+  /** Undefined if no request needs an API key. */
   readonly accounts: readonly ForwardAccount[] | undefined;
 }
 
-/** An upstream as the store lists it. */
+/** An upstream as it is registered in the store. */
 export interface UpstreamRecord {
   readonly id: UpstreamId;
   readonly service: ServiceName;
@@ -100,69 +105,72 @@
   readonly failureDomain: FailureDomainId;
   readonly slots: number;
   readonly state: 'live' | 'leaving';
-  /** When this run of it began, in milliseconds since 1970; undefined where it does not say. */
+  /**
+   * When the current run of the upstream started, in milliseconds since 1970; undefined if not
+   * stated.
+   */
   readonly startedAtMs?: number | undefined;
 }
 
-/** A part of a prompt that several requests may share. */
+/** A part of a prompt that several requests may have in common. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a request asks of an engine at most. */
+/** The maximum number of tokens that a request uses at an engine. */
 export interface TokenDemand {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
 }
 
-/** What the headers of a caller's request say. */
+/** The parsed headers of a caller's request. */
 export interface CallHead {
   readonly requestId: RequestId | undefined;
-  /** How long the caller waits, in milliseconds. */
+  /** How long the caller waits for the response, in milliseconds. */
   readonly budgetMs: number | undefined;
   readonly key: string | undefined;
   readonly tokens: TokenDemand | undefined;
-  /** In order; the last part belongs to the request or its session alone. */
+  /** In order; the last part is specific to the request or its session. */
   readonly promptParts: readonly PromptPart[];
-  /** The last event that the caller has, when it resumes a stream. */
+  /** The id of the last event that the caller received, if it resumes a stream. */
   readonly resumeAfter: string | undefined;
 }
 
-/** What an upstream reports of itself with an answer. */
+/** The load that an upstream reports in a response. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** What the headers of an upstream's answer say. */
+/** The parsed headers of an upstream's response. */
 export interface AnswerHead {
   readonly requestId: string | undefined;
-  /** Whether the upstream vouches for this answer. */
+  /** Whether the response carries the upstream's signature. */
   readonly isSigned: boolean;
-  /** Whether the upstream says that it did not run the request and never will. */
+  /** Whether the upstream states that it did not run the request and never will. */
   readonly isNotRun: boolean;
-  /** Whether another upstream than the one meant has answered. */
+  /** Whether the response comes from a different upstream than the one addressed. */
   readonly isWrongUpstream: boolean;
   readonly load: ReportedLoad | undefined;
   /**
-   * Requests per second that the upstream accepts from all instances combined; infinite if the answer
-   * has no limit, undefined if its limit cannot be parsed.
+   * Requests per second that the upstream accepts from all instances combined; infinite if the
+   * response has no limit, undefined if its limit cannot be parsed.
    */
   readonly limitPerS: number | undefined;
 }
 
-/** What an instance tells an upstream beside the caller's own headers. */
+/** What an instance sends to an upstream in addition to the caller's headers. */
 export interface UpstreamFields {
   readonly upstreamId: UpstreamId;
   readonly accountId: AccountId | undefined;
-  /** What is left of the caller's time, in milliseconds. */
+  /** Remaining time budget of the request, in milliseconds. */
   readonly budgetMs: number;
-  /** The event after which a stream goes on. */
+  /** The id of the event after which the stream is to be resumed. */
   readonly resumeAfter: string | undefined;
-  /** 0 is the most urgent, 9 the least. */
+  /** From 0 (highest priority) to 9 (lowest). */
   readonly priority: number | undefined;
-  /** `IP:PORT` of an engine that may hold parts of the prompt. */
+  /** `IP:PORT` of an engine that may have parts of the prompt in its cache. */
   readonly fetchFrom: string | undefined;
 }
