--- a/packages/routing/src/AdmissionQueue/index.ts
+++ b/packages/routing/src/AdmissionQueue/index.ts
@@ -5,155 +5,165 @@
   type Random,
   type ServiceName,
 } from '@acaciacrank/base';
-import { Lane, type LaneItem } from '../_lib/Lane/index.js';
+import { ServiceQueue, type PrioritizedItem } from '../_lib/ServiceQueue/index.js';
 
 /** Options of {@link AdmissionQueue}. */
 export interface AdmissionQueueOptions {
   clock: Clock;
-  /** How many requests of a service may be under way; asked at each decision, since it changes. */
+  /** Returns the limit for a service's in-flight requests; called for each decision, since it changes. */
   limit: (service: ServiceName | undefined) => number;
-  /** How many requests of a service may wait. */
+  /** Maximum number of waiting requests per service; 1000 by default. */
   maxWaiting?: number;
-  /** How long a request needs from its place to its first token, in milliseconds. */
+  /** Expected time from a request's admission to its first token, in milliseconds; 0 by default. */
   expectedServeMs?: (request: AdmissionRequest) => number;
-  /** Spreads the times to come back; without it they are not spread. */
+  /** Adds jitter to the retry-after times; no jitter by default. */
   random?: Random;
 }
 
-/** One request that wants to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
-  /** The service whose places it needs; each service has a queue of its own. */
+  /** The service to be called; each service has a separate queue and limit. */
   readonly service?: ServiceName;
-  /** 0 matters most. */
+  /** 0 is the most important. */
   readonly priority: number;
   readonly accountId: AccountId;
-  /** When its first token is due, in milliseconds from now. */
+  /** Deadline for its first token, in milliseconds from now. */
   readonly waitMs: number;
   readonly signal: AbortSignal;
 }
 
-interface Waiting extends LaneItem {
+interface WaitingItem extends PrioritizedItem {
   readonly request: AdmissionRequest;
-  /** The latest moment at which a place is of use. */
-  readonly startByMs: number;
-  readonly admit: (place: Disposable) => void;
+  /** Latest time, by the monotonic clock, at which it can start and still meet its deadline. */
+  readonly latestStartMs: number;
+  readonly admit: (slot: Disposable) => void;
   readonly refuse: (error: RouterError) => void;
 }
 
-/** How often those who wait are looked at again, in milliseconds. */
+/** Interval at which waiting requests are reviewed, in milliseconds. */
 const reviewIntervalMs = 25;
-/** Predictions waver: what waits is given up only when it would be late by this much more. */
-const giveUpFactor = 1.25;
-/** Bounds of the time to come back, in milliseconds. */
+/**
+ * A waiting request is refused only if its predicted wait exceeds this multiple of its remaining time,
+ * because predictions fluctuate.
+ */
+const lateToleranceFactor = 1.25;
+/** Bounds of the retry-after time before jitter, in milliseconds. */
 const minRetryAfterMs = 500;
 const maxRetryAfterMs = 30_000;
-/** The time to come back is made longer by up to this part, at random. */
-const retryAfterSpread = 0.5;
+/** Maximum random increase of the retry-after time, as a fraction of it. */
+const retryAfterJitter = 0.5;
 
 /**
- * Holds requests back until there is room: classes in order of priority, accounts of a class in
- * turn.
+ * Admission control with a queue per service: serves classes in order of priority and the accounts of a
+ * class in turn.
  *
- * What cannot have its first token in time is refused at once, as not run and with a time to come
- * back: on arrival by the predicted wait, and later as soon as the prediction turns. Since a higher
- * class goes ahead, the lowest gives way first, and the highest only when it alone is too much.
+ * A request that is predicted to miss the deadline for its first token is refused early, as not run and
+ * with a retry-after time: on arrival, or later as soon as its predicted wait becomes too long. Higher
+ * classes are served first, so load shedding affects the lowest class first and the highest only when
+ * that class alone exceeds the limit.
  */
 export class AdmissionQueue {
   readonly #options: AdmissionQueueOptions;
-  readonly #lanes = new Map<ServiceName | undefined, Lane<Waiting>>();
-  #review: Disposable | undefined;
+  readonly #queues = new Map<ServiceName | undefined, ServiceQueue<WaitingItem>>();
+  #reviewTimer: Disposable | undefined;
 
   constructor(options: AdmissionQueueOptions) {
     this.#options = options;
   }
 
-  /** How many requests wait. */
+  /** Number of waiting requests of all services. */
   get waitingRequests(): number {
-    return [...this.#lanes.values()].reduce((sum, lane) => sum + lane.waiting, 0);
+    return [...this.#queues.values()].reduce((sum, queue) => sum + queue.waiting, 0);
   }
 
   /**
-   * Waits for a place.
+   * Waits until the request may start.
    *
-   * @returns dispose of it when the request has ended
-   * @throws RouterError `overloaded` at once when it could not be served in time or gives way to
-   * others, `upstreamUnavailable` when there is no upstream, `deadlineExceeded`, or `cancelled`
+   * @returns the request's slot, to be disposed of when the request has ended
+   * @throws RouterError `overloaded` as soon as the request is predicted to miss its deadline or is evicted
+   * from a full queue, `upstreamUnavailable` in the same cases when the limit is 0, `deadlineExceeded`, or
+   * `cancelled`
    *
    * @example
-   * using place = await queue.admit({ priority: 1, accountId, waitMs: 2_000, signal });
+   * using slot = await queue.admit({ priority: 1, accountId, waitMs: 2_000, signal });
    */
   async admit(request: AdmissionRequest): Promise<Disposable> {
     const nowMs = this.#options.clock.monotonicMs();
-    const lane = this.#lane(request.service, nowMs);
-    if (lane.waiting === 0 && lane.taken < this.#limit(request.service)) {
-      lane.noteArrival(request.priority, nowMs);
-      return this.#enter(request.service, lane);
+    const queue = this.#getOrCreateQueue(request.service, nowMs);
+    if (queue.waiting === 0 && queue.taken < this.#limit(request.service)) {
+      queue.recordArrival(request.priority, nowMs);
+      return this.#takeSlot(request.service, queue);
     }
-    this.#refuseIfLate(request, lane, nowMs);
-    this.#makeRoom(request, lane);
-    lane.noteArrival(request.priority, nowMs);
-    return this.#wait(request, lane, nowMs);
+    this.#refuseIfLate(request, queue, nowMs);
+    this.#evictIfFull(request, queue);
+    queue.recordArrival(request.priority, nowMs);
+    return this.#enqueue(request, queue, nowMs);
   }
 
-  #enter(service: ServiceName | undefined, lane: Lane<Waiting>): Disposable {
+  #takeSlot(service: ServiceName | undefined, queue: ServiceQueue<WaitingItem>): Disposable {
     const { clock } = this.#options;
-    const enteredMs = clock.monotonicMs();
+    const admittedMs = clock.monotonicMs();
     let isReleased = false;
-    lane.take();
+    queue.takeSlot();
     return {
       [Symbol.dispose]: () => {
         if (isReleased) return;
         isReleased = true;
         const nowMs = clock.monotonicMs();
-        lane.release(nowMs - enteredMs, nowMs);
-        this.#admitNext(service, lane);
+        queue.releaseSlot(nowMs - admittedMs, nowMs);
+        this.#admitNext(service, queue);
       },
     };
   }
 
-  #refuseIfLate(request: AdmissionRequest, lane: Lane<Waiting>, nowMs: number): void {
+  #refuseIfLate(request: AdmissionRequest, queue: ServiceQueue<WaitingItem>, nowMs: number): void {
     const { service, priority, accountId, waitMs } = request;
     const limit = this.#limit(service);
-    const predictedMs = lane.predictWaitMs(priority, accountId, limit, nowMs);
-    const lateMs = predictedMs - this.#usableWaitMs(request);
-    if (lateMs > 0) throw this.#refusal(service, `no place within ${waitMs} ms`, lateMs);
+    const predictedMs = queue.predictWaitMs(priority, accountId, limit, nowMs);
+    const lateMs = predictedMs - this.#maxSlotWaitMs(request);
+    if (lateMs > 0) throw this.#createRefusal(service, `no place within ${waitMs} ms`, lateMs);
   }
 
-  /** Bounds what waits: when it is full, the least important of all gives way. */
-  #makeRoom(request: AdmissionRequest, lane: Lane<Waiting>): void {
-    if (lane.waiting < (this.#options.maxWaiting ?? 1_000)) return;
-    const victim = lane.leastImportant();
-    const text = 'too many requests wait at this instance';
-    const error = this.#refusal(request.service, text, minRetryAfterMs);
-    const isVictimBetter = victim === undefined || victim.priority < request.priority;
-    const isSame = victim?.priority === request.priority;
-    if (isVictimBetter || (isSame && victim.accountId === request.accountId)) throw error;
-    victim.refuse(error);
+  /** If the queue is full, refuses the least important request, which may be the new one. */
+  #evictIfFull(request: AdmissionRequest, queue: ServiceQueue<WaitingItem>): void {
+    if (queue.waiting < (this.#options.maxWaiting ?? 1_000)) return;
+    const candidate = queue.leastImportantItem();
+    const message = 'the admission queue of this instance is full';
+    const error = this.#createRefusal(request.service, message, minRetryAfterMs);
+    const isRequestLessImportant = candidate === undefined || candidate.priority < request.priority;
+    const isSamePriority = candidate?.priority === request.priority;
+    if (isRequestLessImportant || (isSamePriority && candidate.accountId === request.accountId))
+      throw error;
+    candidate.refuse(error);
   }
 
-  async #wait(request: AdmissionRequest, lane: Lane<Waiting>, nowMs: number): Promise<Disposable> {
+  async #enqueue(
+    request: AdmissionRequest,
+    queue: ServiceQueue<WaitingItem>,
+    nowMs: number,
+  ): Promise<Disposable> {
     const { signal, priority, accountId } = request;
-    if (signal.aborted) throw cancelledWhileWaiting();
+    if (signal.aborted) throw createCancelledError();
     let onAbort: (() => void) | undefined;
     try {
       return await new Promise<Disposable>((resolve, reject) => {
-        const item: Waiting = {
+        const item: WaitingItem = {
           request,
           priority,
           accountId,
-          startByMs: nowMs + this.#usableWaitMs(request),
+          latestStartMs: nowMs + this.#maxSlotWaitMs(request),
           admit: resolve,
           refuse: (error) => {
-            lane.remove(item);
+            queue.remove(item);
             reject(error);
           },
         };
         onAbort = () => {
-          item.refuse(cancelledWhileWaiting());
+          item.refuse(createCancelledError());
         };
         signal.addEventListener('abort', onAbort, { once: true });
-        lane.push(item, nowMs);
-        this.#admitNext(request.service, lane);
+        queue.push(item, nowMs);
+        this.#admitNext(request.service, queue);
         this.#scheduleReview();
       });
     } finally {
@@ -161,62 +171,63 @@
     }
   }
 
-  #admitNext(service: ServiceName | undefined, lane: Lane<Waiting>): void {
-    while (lane.waiting > 0 && lane.taken < this.#limit(service)) {
-      const next = lane.shift();
+  #admitNext(service: ServiceName | undefined, queue: ServiceQueue<WaitingItem>): void {
+    while (queue.waiting > 0 && queue.taken < this.#limit(service)) {
+      const next = queue.shift();
       if (next === undefined) return;
-      next.admit(this.#enter(service, lane));
+      next.admit(this.#takeSlot(service, queue));
     }
   }
 
   #scheduleReview(): void {
-    this.#review ??= this.#options.clock.schedule(reviewIntervalMs, () => {
-      this.#review = undefined;
-      for (const [service, lane] of this.#lanes) this.#reviewLane(service, lane);
+    this.#reviewTimer ??= this.#options.clock.schedule(reviewIntervalMs, () => {
+      this.#reviewTimer = undefined;
+      for (const [service, queue] of this.#queues) this.#reviewQueue(service, queue);
       if (this.waitingRequests > 0) this.#scheduleReview();
     });
   }
 
-  /** Limits change and predictions turn without a request's doing: looks at all who wait. */
-  #reviewLane(service: ServiceName | undefined, lane: Lane<Waiting>): void {
-    if (lane.waiting === 0) return;
-    this.#admitNext(service, lane);
+  /** Reviews all waiting requests, since limits and predictions also change without a new request. */
+  #reviewQueue(service: ServiceName | undefined, queue: ServiceQueue<WaitingItem>): void {
+    if (queue.waiting === 0) return;
+    this.#admitNext(service, queue);
     const nowMs = this.#options.clock.monotonicMs();
-    for (const { item, waitMs } of lane.predictions(this.#limit(service), nowMs)) {
-      const leftMs = item.startByMs - nowMs;
-      const text = `no place within ${item.request.waitMs} ms`;
-      if (leftMs <= 0) item.refuse(new RouterError('deadlineExceeded', text));
-      else if (waitMs > leftMs * giveUpFactor) {
-        item.refuse(this.#refusal(service, text, waitMs - leftMs));
+    for (const { item, waitMs } of queue.predictWaits(this.#limit(service), nowMs)) {
+      const remainingMs = item.latestStartMs - nowMs;
+      const message = `no place within ${item.request.waitMs} ms`;
+      if (remainingMs <= 0) item.refuse(new RouterError('deadlineExceeded', message));
+      else if (waitMs > remainingMs * lateToleranceFactor) {
+        item.refuse(this.#createRefusal(service, message, waitMs - remainingMs));
       }
     }
   }
 
-  #usableWaitMs(request: AdmissionRequest): number {
+  /** Longest wait after which the first token can still be in time. */
+  #maxSlotWaitMs(request: AdmissionRequest): number {
     return request.waitMs - (this.#options.expectedServeMs?.(request) ?? 0);
   }
 
-  #refusal(service: ServiceName | undefined, text: string, lateMs: number): RouterError {
+  #createRefusal(service: ServiceName | undefined, message: string, lateMs: number): RouterError {
     const boundedMs = Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, lateMs));
-    const spread = 1 + retryAfterSpread * (this.#options.random?.() ?? 0);
-    const retryAfterMs = Math.round(boundedMs * spread);
+    const jitterFactor = 1 + retryAfterJitter * (this.#options.random?.() ?? 0);
+    const retryAfterMs = Math.round(boundedMs * jitterFactor);
     const kind = this.#limit(service) > 0 ? 'overloaded' : 'upstreamUnavailable';
-    return new RouterError(kind, text, { retryAfterMs });
+    return new RouterError(kind, message, { retryAfterMs });
   }
 
   #limit(service: ServiceName | undefined): number {
     return this.#options.limit(service);
   }
 
-  #lane(service: ServiceName | undefined, nowMs: number): Lane<Waiting> {
-    const known = this.#lanes.get(service);
-    if (known !== undefined) return known;
-    const lane = new Lane<Waiting>(nowMs);
-    this.#lanes.set(service, lane);
-    return lane;
+  #getOrCreateQueue(service: ServiceName | undefined, nowMs: number): ServiceQueue<WaitingItem> {
+    const existing = this.#queues.get(service);
+    if (existing !== undefined) return existing;
+    const queue = new ServiceQueue<WaitingItem>(nowMs);
+    this.#queues.set(service, queue);
+    return queue;
   }
 }
 
-function cancelledWhileWaiting(): RouterError {
+function createCancelledError(): RouterError {
   return new RouterError('cancelled', 'the caller went away', { ran: 'notRun' });
 }
--- a/packages/routing/src/AdmissionQueue/test.ts
+++ b/packages/routing/src/AdmissionQueue/test.ts
@@ -9,25 +9,27 @@
   signal: new AbortController().signal,
 });
 
-test('the class that matters most goes first when a place becomes free', async (t) => {
+test('the highest-priority class is served first when a slot is released', async (t) => {
   const clock = new ManualClock();
   const queue = new AdmissionQueue({ clock, limit: () => 1 });
-  const place = await queue.admit(request(1));
+  const slot = await queue.admit(request(1));
   const order: string[] = [];
   const low = queue.admit(request(2)).then(() => order.push('low'));
   const high = queue.admit(request(0)).then((next) => {
     order.push('high');
     next[Symbol.dispose]();
   });
-  place[Symbol.dispose]();
+  slot[Symbol.dispose]();
   await Promise.all([low, high]);
   t.deepEqual(order, ['high', 'low']);
 });
 
-test('what cannot begin before its deadline is refused and no longer waits', async (t) => {
+test('a request that cannot start before its deadline is refused and removed', async (t) => {
   const clock = new ManualClock();
   const queue = new AdmissionQueue({ clock, limit: () => 0 });
-  const refused = t.throwsAsync(queue.admit(request(0, 50)), { message: /no place within 50 ms/ });
+  const refused = t.throwsAsync(queue.admit(request(0, 50)), {
+    message: /no place within 50 ms/,
+  });
   await clock.advance(50);
   await refused;
   t.is(queue.waitingRequests, 0);
@@ -40,8 +42,8 @@
   readonly holdMs?: number;
 }
 
-/** A queue on which callers hold their place for a while; tells what became of them, in order. */
-function createWorld(options: Partial<AdmissionQueueOptions> = {}) {
+/** A queue whose callers hold their slot for a while; records admissions and refusals in order. */
+function createHarness(options: Partial<AdmissionQueueOptions> = {}) {
   const clock = new ManualClock();
   const queue = new AdmissionQueue({ clock, limit: () => 1, ...options });
   const admitted: string[] = [];
@@ -50,8 +52,8 @@
     const { account = 'a', priority = 0, waitMs = 10_000, holdMs = 100 } = caller;
     try {
       const accountId = account as AccountId;
-      using place = await queue.admit({ ...request(priority, waitMs), accountId });
-      void place;
+      using slot = await queue.admit({ ...request(priority, waitMs), accountId });
+      void slot;
       admitted.push(name);
       await clock.sleep(holdMs);
     } catch (error) {
@@ -68,10 +70,10 @@
   return { clock, queue, admitted, refused, call, warmUp };
 }
 
-// One account sends a burst of 50, then another account sends a single request. In one common queue
-// the quiet account's user would wait for the whole burst.
-test('a busy account does not make a quiet one of its class wait for all it has sent', async (t) => {
-  const { clock, admitted, call } = createWorld();
+// Guards against a single FIFO queue: the only request of a quiet account would wait behind another
+// account's burst of 50.
+test('a quiet account does not wait for all requests of a busy account in its class', async (t) => {
+  const { clock, admitted, call } = createHarness();
   for (let index = 0; index < 50; index += 1) void call(`busy${index}`, { account: 'busy' });
   await clock.advance(1);
   void call('quiet', { account: 'quiet' });
@@ -80,10 +82,10 @@
   t.true(admitted.length <= 4);
 });
 
-// A shift prompt arrives where many wait already. It is told at once to come back later; a refusal
-// that is held back until its deadline would cost a cook the time to ask elsewhere.
-test('what cannot be in time is refused on arrival, as not run and with a time to come back', async (t) => {
-  const { clock, refused, call, warmUp } = createWorld();
+// Guards against refusing a request only at its deadline when the queue is already too long on arrival:
+// the caller would lose the time to try another instance.
+test('a request that would be late is refused on arrival, as not run and with a retry-after time', async (t) => {
+  const { clock, refused, call, warmUp } = createHarness();
   await warmUp(40, 100);
   for (let index = 0; index < 30; index += 1) void call(`first${index}`, { holdMs: 100 });
   await clock.advance(1);
@@ -97,26 +99,26 @@
   t.true(retryAfterMs >= 1_000 && retryAfterMs <= 4_000, `${retryAfterMs} ms`);
 });
 
-// Tagging requests wait; then reviews arrive, which go ahead. The tagging requests can no longer be
-// in time and are told so long before their deadline, while the reviews are served.
-test('what is overtaken for good is refused when that shows, not at its deadline', async (t) => {
-  const { clock, refused, admitted, call, warmUp } = createWorld();
+// Guards against holding low-priority requests (tagging) until their deadline although higher-priority
+// ones (reviews) that arrived later will be served first and make them late.
+test('requests overtaken by a higher class are refused before their deadline', async (t) => {
+  const { clock, refused, admitted, call, warmUp } = createHarness();
   await warmUp(40, 100);
   const startMs = clock.monotonicMs();
   for (let index = 0; index < 5; index += 1)
     void call(`tag${index}`, { priority: 2, waitMs: 2_000 });
   for (let index = 0; index < 40; index += 1) void call(`review${index}`, { waitMs: 60_000 });
   await clock.advance(200);
-  // The first had its place before any review came.
+  // The first was admitted before any review arrived.
   t.deepEqual(refused.map(({ name }) => name).sort(), ['tag1', 'tag2', 'tag3', 'tag4']);
   t.true(refused.every(({ atMs }) => atMs - startMs <= 100));
   t.true(admitted.includes('review0'));
 });
 
-// Places stop coming free because the upstreams hang. Who waits hears of it when their wait has
-// become hopeless, well before the deadline of 10 s has passed.
-test('when places stop coming free, those who wait are told before their deadline', async (t) => {
-  const { clock, refused, call, warmUp } = createWorld();
+// Guards against holding requests until their deadline of 10 s when upstreams hang and no slot is
+// released.
+test('when no more slots are released, waiting requests are refused before their deadline', async (t) => {
+  const { clock, refused, call, warmUp } = createHarness();
   await warmUp(40, 100);
   const startMs = clock.monotonicMs();
   void call('hangs', { holdMs: 600_000 });
@@ -124,13 +126,13 @@
   await clock.advance(10_000);
   t.is(refused.length, 20);
   const early = refused.filter(({ atMs }) => atMs - startMs < 8_000);
-  t.true(early.length >= 18, `${early.length} were told early`);
+  t.true(early.length >= 18, `${early.length} were refused early`);
 });
 
-// Tagging fills the queue to its bound. A review still gets in: the newest tagging request of the
-// busiest account gives way, and no review is refused.
-test('when the queue is full, the lowest class gives way to a higher one', async (t) => {
-  const { clock, refused, admitted, call } = createWorld({ maxWaiting: 5 });
+// Guards against refusing a higher-priority request (review) because lower-priority ones (tagging) fill
+// the queue: the newest tagging request of the busiest account is evicted instead.
+test('when the queue is full, a request of the lowest class is evicted for a higher one', async (t) => {
+  const { clock, refused, admitted, call } = createHarness({ maxWaiting: 5 });
   const tagging = { priority: 2, waitMs: 60_000 };
   for (let index = 0; index < 5; index += 1) void call(`busy${index}`, tagging);
   void call('quiet', { ...tagging, account: 'b' });
@@ -147,9 +149,9 @@
   t.is(admitted[1], 'review');
 });
 
-test('places that appear without one being given back are used', async (t) => {
+test('slots added by a higher limit are used although none is released', async (t) => {
   let limit = 1;
-  const { clock, admitted, call } = createWorld({ limit: () => limit });
+  const { clock, admitted, call } = createHarness({ limit: () => limit });
   for (const name of ['one', 'two', 'three']) void call(name, { holdMs: 5_000 });
   await clock.advance(10);
   limit = 3;
@@ -157,21 +159,21 @@
   t.deepEqual(admitted, ['one', 'two', 'three']);
 });
 
-test('a caller that goes away while it waits leaves its turn to the next', async (t) => {
-  const { clock, queue } = createWorld();
-  const gone = new AbortController();
-  const place = await queue.admit(request(0));
-  const first = queue.admit({ ...request(0), signal: gone.signal });
+test('a cancelled request does not delay the next one', async (t) => {
+  const { clock, queue } = createHarness();
+  const callerAbort = new AbortController();
+  const slot = await queue.admit(request(0));
+  const first = queue.admit({ ...request(0), signal: callerAbort.signal });
   const second = queue.admit(request(0));
-  gone.abort();
+  callerAbort.abort();
   await t.throwsAsync(first, { message: 'the caller went away' });
-  place[Symbol.dispose]();
+  slot[Symbol.dispose]();
   (await clock.runUntil(second))[Symbol.dispose]();
   t.is(queue.waitingRequests, 0);
 });
 
-test('without any upstream, what cannot wait for one to come back is refused as unavailable', async (t) => {
-  const { clock, refused, queue, call } = createWorld({ limit: () => 0 });
+test('without an upstream, a request with a short deadline is refused as unavailable', async (t) => {
+  const { clock, refused, queue, call } = createHarness({ limit: () => 0 });
   void call('shift', { priority: 1, waitMs: 2_000 });
   void call('review', { waitMs: 30_000 });
   await clock.advance(0);
@@ -180,8 +182,8 @@
   t.is(queue.waitingRequests, 1);
 });
 
-test('services do not wait for each other', async (t) => {
-  const { clock, queue } = createWorld();
+test('services have separate queues', async (t) => {
+  const { clock, queue } = createHarness();
   const tutor = { ...request(0), service: 'tutor' as ServiceName };
   const other = { ...request(0), service: 'other' as ServiceName };
   await queue.admit(tutor);
--- a/packages/routing/src/ConcurrencyLimit/index.ts
+++ b/packages/routing/src/ConcurrencyLimit/index.ts
@@ -3,40 +3,43 @@
 /** A load report as the registry received it. */
 export interface ReceivedReport {
   readonly report: LoadReport;
-  /** When it was measured, by this machine's wall clock. */
+  /** Time of measurement, by this machine's wall clock. */
   readonly measuredAtMs: number;
-  /** When it was received, by this machine's wall clock. */
+  /** Time of receipt, by this machine's wall clock. */
   readonly receivedAtMs: number;
-  /** How many instances share the upstream. */
+  /** Number of instances that share the upstream. */
   readonly instances: number;
 }
 
-/** How many requests one instance may have under way at one upstream. */
+/**
+ * Limits the in-flight requests of one instance at one upstream. Each in-flight request occupies one
+ * slot.
+ */
 export abstract class ConcurrencyLimit {
-  /** How many requests may be under way; a fraction counts towards the sum over upstreams. */
-  abstract readonly places: number;
+  /** Number of slots; a fraction of a slot counts towards the sum over upstreams. */
+  abstract readonly slots: number;
 
-  /** Whether one more request may begin. */
+  /** Returns whether one more request may start. */
   abstract hasRoom(inFlightRequests: number): boolean;
 
   /**
-   * What the upstream adds to the sum of places. Requests above a limit that has fallen count as
-   * places, since they take none from the other upstreams.
+   * Returns the upstream's contribution to the sum of slots. In-flight requests above a lowered limit
+   * count as slots, since they occupy none of the other upstreams.
    */
-  countedPlaces(inFlightRequests: number): number {
-    return Math.max(this.places, inFlightRequests);
+  countedSlots(inFlightRequests: number): number {
+    return Math.max(this.slots, inFlightRequests);
   }
 
-  /** Takes a report that tells something new. */
-  abstract learnReport(received: ReceivedReport, inFlightRequests: number): void;
+  /** Adapts the limit to a report with a new measurement. */
+  abstract applyReport(received: ReceivedReport, inFlightRequests: number): void;
 
-  /** Notes how many requests are under way after one began. */
-  learnInFlight(inFlightRequests: number): void {
+  /** Records the number of in-flight requests after one has started. */
+  recordInFlight(inFlightRequests: number): void {
     void inFlightRequests;
   }
 
-  /** Begins small again, after the upstream was out of use. */
-  restart(): void {
-    // A limit that does not adapt has nothing to begin again.
+  /** Returns to a small limit after the upstream was ejected. */
+  reset(): void {
+    // A limit that does not adapt has no state to reset.
   }
 }
--- a/packages/routing/src/EngineModel/index.ts
+++ b/packages/routing/src/EngineModel/index.ts
@@ -1,98 +1,103 @@
 /**
- * How long the engines of a service read, learnt from what this instance sees of them.
+ * Prefill times of the engines of a service, fitted to the requests of this instance.
  */
 import { fitExpectile, type Sample } from '../_lib/fitExpectile/index.js';
 
-/** One prompt that was read, from its sending to its first event. */
-export interface ReadSample {
-  /** Tokens that the engine had to read. */
+/** The observed prefill of one prompt, from sending the request to its first event. */
+export interface PrefillSample {
+  /** Number of tokens that the engine had to prefill. */
   readonly newTokens: number;
-  /** Tokens before them that it held. */
+  /** Number of tokens before them that were in its cache. */
   readonly cachedTokens: number;
   readonly elapsedMs: number;
 }
 
-/** What was learnt, for logs. */
+/** The result of a fit, for logs. */
 export interface EngineFit {
+  /** Number of samples observed so far. */
   readonly reads: number;
-  /** Milliseconds a read, for a thousand tokens, and for a million pairs of tokens. */
+  /** Milliseconds per prompt, per thousand new tokens, and per million pairs of attended tokens. */
   readonly readMs: readonly number[];
 }
 
-/** Samples kept: some seconds of load at one instance, so that changes are forgotten. */
-const keptSamples = 192;
-/** Samples between two fits. */
-const refitSamples = 16;
-/** A sample beyond this is a fault of the engine or of a clock, in milliseconds. */
-const absurdMs = 30_000;
-/** A wait for other prompts only lengthens a read, so the fit follows the shortest ones. */
-const readAboveWeight = 0.03;
-/** Before anything was seen: milliseconds a read, for a thousand tokens, for a million pairs. */
-const readPrior = [10, 16, 0.5] as const;
-const tokensInThousand = 1_000;
-const pairsInMillion = 1_000_000;
+/** Number of retained samples: a few seconds of load at one instance, so that old behaviour ages out. */
+const maxSamples = 192;
+const samplesPerFit = 16;
+/** Longer samples are attributed to a fault of the engine or a clock and ignored, in milliseconds. */
+const maxPlausibleMs = 30_000;
+/** Waiting for other prompts can only lengthen a sample, so the fit follows the shortest ones. */
+const aboveWeight = 0.03;
+/** Assumed without samples: milliseconds per prompt, per thousand tokens, per million pairs. */
+const priorCoefficients = [10, 16, 0.5] as const;
+const tokensPerThousand = 1_000;
+const pairsPerMillion = 1_000_000;
 
 /**
- * Learns the engines of one service.
+ * Estimates the prefill time of the engines of one service.
  *
- * What is seen of single engines goes into one model: they are of one kind, and an instance of many
- * sees each of them seldom. Engines that are slow or faulty lie above the rest and count little.
+ * Samples of all engines are combined in one model: the engines are of the same kind, and in a large
+ * fleet an instance rarely uses each of them. Samples of slow or faulty engines lie above the rest and
+ * have little weight.
  *
  * @example
  * model.observeRead({ newTokens: 3_000, cachedTokens: 10_000, elapsedMs: 70 });
  * model.readMs(3_000, 10_000);
  */
 export class EngineModel {
-  readonly #reads: Sample[] = [];
-  #readSeen = 0;
-  #readFit: readonly number[] = readPrior;
+  readonly #samples: Sample[] = [];
+  #sampleCount = 0;
+  #coefficients: readonly number[] = priorCoefficients;
   readonly #onFit: (fit: EngineFit) => void;
 
-  /** @param onFit - called when a number of prompts more was learnt from */
+  /** @param onFit - called after each new fit */
   constructor(onFit: (fit: EngineFit) => void = () => undefined) {
     this.#onFit = onFit;
   }
 
-  /** Takes in how long a prompt was read. */
-  observeRead({ newTokens, cachedTokens, elapsedMs }: ReadSample): void {
-    if (!isPlausible(elapsedMs) || !isPlausibleCount(newTokens + cachedTokens)) return;
-    keep(this.#reads, { value: elapsedMs, factors: readFactors(newTokens, cachedTokens) });
-    this.#readSeen += 1;
-    if (this.#readSeen % refitSamples !== 0) return;
-    const options = { aboveWeight: readAboveWeight, prior: readPrior, priorWeight: 1 };
-    this.#readFit = fitExpectile(this.#reads, options);
+  /** Records the prefill time of a prompt; implausible samples are ignored. */
+  observeRead({ newTokens, cachedTokens, elapsedMs }: PrefillSample): void {
+    if (!isPlausibleDuration(elapsedMs) || !isPlausibleCount(newTokens + cachedTokens)) return;
+    addSample(this.#samples, {
+      value: elapsedMs,
+      factors: prefillFactors(newTokens, cachedTokens),
+    });
+    this.#sampleCount += 1;
+    if (this.#sampleCount % samplesPerFit !== 0) return;
+    const options = { aboveWeight, prior: priorCoefficients, priorWeight: 1 };
+    this.#coefficients = fitExpectile(this.#samples, options);
     this.#onFit({
-      reads: this.#readSeen,
-      readMs: this.#readFit,
+      reads: this.#sampleCount,
+      readMs: this.#coefficients,
     });
   }
 
   /**
-   * How long an engine reads a prompt when nothing else is read there.
+   * Estimates how long an engine takes to prefill a prompt when no other prompt is being prefilled.
    *
-   * @param newTokens - tokens that it does not hold
-   * @param cachedTokens - tokens before them that it holds
+   * @param newTokens - number of tokens that are not in its cache
+   * @param cachedTokens - number of tokens before them that are in its cache
    * @returns milliseconds
    */
   readMs(newTokens: number, cachedTokens: number): number {
-    const [restMs = 0, thousandMs = 0, millionMs = 0] = this.#readFit;
-    const [, thousands = 0, millions = 0] = readFactors(newTokens, cachedTokens);
-    return restMs + thousands * thousandMs + millions * millionMs;
+    const [fixedMs = 0, msPerThousandTokens = 0, msPerMillionPairs = 0] = this.#coefficients;
+    const [, thousandsOfTokens = 0, millionsOfPairs = 0] = prefillFactors(newTokens, cachedTokens);
+    return fixedMs + thousandsOfTokens * msPerThousandTokens + millionsOfPairs * msPerMillionPairs;
   }
 }
 
-function readFactors(newTokens: number, cachedTokens: number): readonly number[] {
+/** Each new token attends to the cached tokens and, on average, to half of the new ones. */
+function prefillFactors(newTokens: number, cachedTokens: number): readonly number[] {
   const pairs = newTokens * (cachedTokens + newTokens / 2);
-  return [1, newTokens / tokensInThousand, pairs / pairsInMillion];
+  return [1, newTokens / tokensPerThousand, pairs / pairsPerMillion];
 }
 
-function keep(samples: Sample[], sample: Sample): void {
+function addSample(samples: Sample[], sample: Sample): void {
   samples.push(sample);
-  if (samples.length > keptSamples) samples.shift();
+  if (samples.length > maxSamples) samples.shift();
 }
 
-function isPlausible(spanMs: number): boolean {
-  return Number.isFinite(spanMs) && spanMs > 0 && spanMs <= absurdMs;
+function isPlausibleDuration(durationMs: number): boolean {
+  return Number.isFinite(durationMs) && durationMs > 0 && durationMs <= maxPlausibleMs;
 }
 
 function isPlausibleCount(tokens: number): boolean {
--- a/packages/routing/src/EngineModel/test.ts
+++ b/packages/routing/src/EngineModel/test.ts
@@ -2,63 +2,68 @@
 import { createRandom, type Random } from '@acaciacrank/base';
 import { EngineModel } from './index.js';
 
-/** A kind of engine, as its service would describe it. */
+/** Prefill performance of a kind of engine. */
 interface EngineKind {
   readonly tokensPerMs: number;
   readonly msPerMillionPairs: number;
 }
 
 const kinds: Record<string, EngineKind> = {
-  'cheap pairs': { tokensPerMs: 64, msPerMillionPairs: 0.65 },
-  'dear pairs': { tokensPerMs: 30, msPerMillionPairs: 2 },
+  'low attention cost': { tokensPerMs: 64, msPerMillionPairs: 0.65 },
+  'high attention cost': { tokensPerMs: 30, msPerMillionPairs: 2 },
 };
 
-function trueReadMs(kind: EngineKind, newTokens: number, cachedTokens: number): number {
+function truePrefillMs(kind: EngineKind, newTokens: number, cachedTokens: number): number {
   const pairs = newTokens * (cachedTokens + newTokens / 2);
   return 4 + newTokens / kind.tokensPerMs + (pairs / 1_000_000) * kind.msPerMillionPairs;
 }
 
-/** Two in five reads wait for another prompt, some engines are slow, some answers are absurd. */
-function teach(model: EngineModel, kind: EngineKind, random: Random, requests = 200): void {
+/** Two in five prompts wait for another prompt, some engines are slow, some samples are invalid. */
+function observeSamples(
+  model: EngineModel,
+  kind: EngineKind,
+  random: Random,
+  requests = 200,
+): void {
   for (let request = 0; request < requests; request += 1) {
     const newTokens = 200 + random() * 6_000;
     const cachedTokens = random() < 0.3 ? 0 : random() * 14_000;
     const waitMs = random() < 0.4 ? random() * 400 : 0;
     const slowness = random() < 0.05 ? 3 : 1;
-    const elapsedMs = slowness * trueReadMs(kind, newTokens, cachedTokens) + waitMs;
+    const elapsedMs = slowness * truePrefillMs(kind, newTokens, cachedTokens) + waitMs;
     model.observeRead({ newTokens, cachedTokens, elapsedMs });
     model.observeRead({ newTokens: Number.NaN, cachedTokens: 0, elapsedMs: 1 });
   }
 }
 
 for (const [name, kind] of Object.entries(kinds)) {
-  test(`it learns engines with ${name} from 200 requests, within 15%`, (t) => {
+  test(`estimates engines with ${name} to within 15% after 200 requests`, (t) => {
     const model = new EngineModel();
-    teach(model, kind, createRandom(7));
+    observeSamples(model, kind, createRandom(7));
     for (const [newTokens, cachedTokens] of [
       [3_000, 12_000],
       [6_000, 0],
       [4_000, 6_000],
     ] as const) {
-      const truth = trueReadMs(kind, newTokens, cachedTokens);
+      const truth = truePrefillMs(kind, newTokens, cachedTokens);
       t.true(Math.abs(model.readMs(newTokens, cachedTokens) - truth) < 0.15 * truth);
     }
   });
 }
 
-// The engines of a service are replaced by others of half the speed. A model that never forgets would go
-// on placing prompts by what the old ones could do.
-test('it forgets engines that were replaced', (t) => {
+// Guards against placing prompts by the speed of engines that have since been replaced by others of half
+// the speed.
+test('adapts to replaced engines', (t) => {
   const model = new EngineModel();
   const [first, second] = Object.values(kinds);
   if (first === undefined || second === undefined) return t.fail();
-  teach(model, first, createRandom(1));
-  teach(model, second, createRandom(2), 400);
-  const truth = trueReadMs(second, 3_000, 12_000);
+  observeSamples(model, first, createRandom(1));
+  observeSamples(model, second, createRandom(2), 400);
+  const truth = truePrefillMs(second, 3_000, 12_000);
   t.true(Math.abs(model.readMs(3_000, 12_000) - truth) < 0.15 * truth);
 });
 
-test('before anything was seen, reads have a usual length', (t) => {
+test('returns plausible estimates without samples', (t) => {
   const model = new EngineModel();
   t.true(model.readMs(6_400, 0) > 50 && model.readMs(6_400, 0) < 250);
 });
--- a/packages/routing/src/ForeignQueue/index.ts
+++ b/packages/routing/src/ForeignQueue/index.ts
@@ -1,48 +1,50 @@
-/** How fast what was seen of a queue is forgotten, in milliseconds: about how long a few prompts are read. */
-const forgetMs = 500;
-/** Weight of a new observation. */
-const weight = 0.5;
+/** Time constant for the decay of the estimate, in milliseconds: about the prefill time of a few prompts. */
+const decayMs = 500;
+/** Weight of the latest observation. */
+const smoothingFactor = 0.5;
 
 /**
- * Guesses how long an engine reads for other instances, from how much later than expected it begins to
- * answer this one.
+ * Estimates the prefill backlog that other instances cause at an engine, from how much later than
+ * expected the engine starts to answer this instance.
  *
- * Answers engines whose queue no single instance sees: each of several instances sends a prompt there
- * now and then, finds nothing of its own ahead, and waits behind the others' while engines beside it
- * idle. Its own prompts tell: the last ones began late, or one that waits now is overdue.
+ * No single instance sees the whole queue of an engine: if each of several instances occasionally sends
+ * a prompt there, each sees no prompt of its own ahead, yet waits behind those of the others while other
+ * engines are idle. Two observations reveal the backlog: recent prompts started late, or a waiting prompt
+ * is overdue.
  *
  * @example
- * queue.observe(400, nowMs);
- * queue.estimateMs(nowMs + 100, 0);
+ * estimator.observe(400, nowMs);
+ * estimator.estimateMs(nowMs + 100, 0);
  */
 export class ForeignQueue {
-  #queuedMs = 0;
-  #atMs = -Infinity;
+  #backlogMs = 0;
+  #observedMs = -Infinity;
 
   /**
-   * Takes in how much later than expected a prompt's first event came.
+   * Records how much later than expected a prompt's first event arrived.
    *
-   * @param excessMs - beyond its own reading and what this instance had ordered before it
-   * @param nowMs - on the monotonic clock
+   * @param excessMs - delay beyond its own prefill and that of this instance's earlier prompts
+   * @param nowMs - current time of the monotonic clock
    */
   observe(excessMs: number, nowMs: number): void {
-    const before = this.#remembered(nowMs);
-    this.#queuedMs = before + weight * (Math.max(0, excessMs) - before);
-    this.#atMs = nowMs;
+    const previousMs = this.#decayedBacklogMs(nowMs);
+    this.#backlogMs = previousMs + smoothingFactor * (Math.max(0, excessMs) - previousMs);
+    this.#observedMs = nowMs;
   }
 
   /**
-   * How long the engine is likely to read for others before anything that is sent now.
+   * Estimates how long the engine will prefill prompts of other instances before one that is sent now, in
+   * milliseconds.
    *
-   * @param nowMs - on the monotonic clock
-   * @param overdueMs - by how much the prompt that waits longest is past its time; 0 for none
+   * @param nowMs - current time of the monotonic clock
+   * @param overdueMs - how overdue the longest-waiting prompt is; 0 for none
    */
   estimateMs(nowMs: number, overdueMs: number): number {
-    return Math.max(this.#remembered(nowMs), overdueMs);
+    return Math.max(this.#decayedBacklogMs(nowMs), overdueMs);
   }
 
-  #remembered(nowMs: number): number {
-    if (this.#queuedMs === 0) return 0;
-    return this.#queuedMs * Math.exp(-Math.max(0, nowMs - this.#atMs) / forgetMs);
+  #decayedBacklogMs(nowMs: number): number {
+    if (this.#backlogMs === 0) return 0;
+    return this.#backlogMs * Math.exp(-Math.max(0, nowMs - this.#observedMs) / decayMs);
   }
 }
--- a/packages/routing/src/LeastInFlight/index.ts
+++ b/packages/routing/src/LeastInFlight/index.ts
@@ -1,12 +1,12 @@
-import { leastBy } from '../LeastReportedLoad/index.js';
+import { minBy } from '../LeastReportedLoad/index.js';
 import { UpstreamChoice } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
-/** Takes the candidate where this instance has the fewest requests under way. */
+/** Picks the candidate with the fewest in-flight requests of this instance. */
 export class LeastInFlight extends UpstreamChoice {
   override readonly name = 'leastInFlight';
 
   override choose(candidates: readonly Upstream[]): Upstream | undefined {
-    return leastBy(candidates, ({ inFlightRequests }) => inFlightRequests);
+    return minBy(candidates, ({ inFlightRequests }) => inFlightRequests);
   }
 }
--- a/packages/routing/src/LeastReportedLoad/index.ts
+++ b/packages/routing/src/LeastReportedLoad/index.ts
@@ -2,28 +2,28 @@
 import type { Upstream } from '../types.js';
 
 /**
- * Takes the candidate whose last report tells the least load. All instances read the same reports,
- * so between two reports they all send to the same upstream.
+ * Picks the candidate with the lowest load in its last report. All instances read the same reports, so
+ * between two reports they all send to the same upstream.
  */
 export class LeastReportedLoad extends UpstreamChoice {
   override readonly name = 'leastReportedLoad';
 
   override choose(candidates: readonly Upstream[]): Upstream | undefined {
-    return leastBy(candidates, reportedLoad);
+    return minBy(candidates, reportedLoad);
   }
 }
 
 /**
- * The first upstream with the least value.
+ * Returns the first upstream with the lowest value.
  *
- * @param upstreams - to choose among
- * @param valueOf - what is to be least
- * @returns undefined when there is none
+ * @param upstreams - the upstreams to compare
+ * @param valueOf - computes the value of an upstream
+ * @returns undefined if there are no upstreams
  *
  * @example
  * leastBy(upstreams, ({ inFlightRequests }) => inFlightRequests);
  */
-export function leastBy(
+export function minBy(
   upstreams: readonly Upstream[],
   valueOf: (upstream: Upstream) => number,
 ): Upstream | undefined {
--- a/packages/routing/src/OutlierDetector/index.ts
+++ b/packages/routing/src/OutlierDetector/index.ts
@@ -4,48 +4,47 @@
 
 /** Options of {@link OutlierDetector}. */
 export interface OutlierDetectorOptions {
-  /** Spreads the moments at which instances try an upstream again. */
+  /** Adds jitter to ejections, so that instances do not probe an upstream at the same time. */
   random?: Random;
-  /** The largest part of a service's upstreams that may be out of use; 0 ejects none. */
+  /** Maximum fraction of a service's upstreams that may be ejected or probing; 0 disables ejection. */
   maxEjectedFraction?: number;
-  /** The largest part of a service's upstreams that may be tried again at once; at least one. */
+  /** Maximum fraction of a service's upstreams that may be probing; always allows at least one. */
   maxProbingFraction?: number;
-  /** So many failures in a row eject. */
-  maxFailuresInRow?: number;
-  /** An upstream is silent when a first token takes so many times as long as is usual. */
+  /** Number of consecutive failures that cause an ejection. */
+  maxConsecutiveFailures?: number;
+  /** A request is overdue if it waits this many times the average time for its first token. */
   silentFactor?: number;
-  /** The least time after which an upstream is silent, in milliseconds. */
+  /** Minimum wait after which a request is overdue, in milliseconds. */
   minSilentMs?: number;
-  /** An upstream is slow when its first tokens take so many times as long as its peers' median. */
+  /** An upstream is slow if its first tokens take this many times the median of its peers. */
   slowFactor?: number;
-  /** How long the first ejection lasts, in milliseconds; doubles with each that follows. */
-  firstEjectionMs?: number;
-  /** The longest ejection, in milliseconds. */
+  /** Duration of the first ejection, in milliseconds; doubles with each further one. */
+  baseEjectionMs?: number;
+  /** Maximum duration of an ejection before jitter, in milliseconds. */
   maxEjectionMs?: number;
 }
 
-/** So many first tokens are needed to call an upstream slow. */
-const minSamples = 6;
-/** So many of the peers must be known for their median to count. */
+/** Minimum number of first tokens for an upstream to be considered slow. */
+const minFirstTokens = 6;
+/** Minimum number of peers with enough first tokens for their median to be used. */
 const minPeers = 3;
-/** So many first tokens in a row let an upstream that is tried again come back. */
-const probesToReturn = 3;
-/** A single silent request ejects after so many times the bound; two of them after the bound. */
-const loneSilenceFactor = 5;
-/** After so long in health, the next ejection is a short one again, in milliseconds. */
-const forgivenAfterMs = 60 * millisecondsInSecond;
-/** An ejection is made longer by up to this part, at random. */
-const ejectionSpread = 0.5;
+/** Number of first tokens without a failure after which a probing upstream becomes healthy. */
+const firstTokensToRecover = 3;
+/** A single overdue request causes an ejection after this many times the bound; two after the bound. */
+const singleRequestSilenceFactor = 5;
+/** Healthy period after which the ejection backoff starts again, in milliseconds. */
+const ejectionBackoffResetMs = 60 * millisecondsInSecond;
+/** Maximum random increase of an ejection's duration, as a fraction of it. */
+const ejectionJitter = 0.5;
 
 /**
- * Takes slow, failing and silent upstreams of one service out of use and tries them again with
- * care.
+ * Ejects slow, failing and silent upstreams of a service and probes them before using them again.
  *
- * Guards against half-dead upstreams. One that accepts and never answers, and one whose errors come
- * fast, report hardly any load, and so a choice by load sends them more and more. They show in what
- * this instance sees itself: failures in a row, or requests without a sign of life while none comes
- * from any other request there. Never more than a fixed part is ejected, since the rest must carry
- * the load: when everything fails at once, the fault is elsewhere.
+ * Handles upstreams that fail in ways that their load reports do not show. One that accepts requests
+ * without ever answering and one that fails fast both report hardly any load, so a choice by load would
+ * send them more and more. They are detected by this instance's own requests: consecutive failures, or
+ * requests without a first token while no other request there makes progress. At most a fixed fraction is
+ * ejected, since the rest must carry the load: if all upstreams fail at once, the cause lies elsewhere.
  */
 export class OutlierDetector {
   readonly #options: Required<OutlierDetectorOptions>;
@@ -55,110 +54,122 @@
       random: () => 0,
       maxEjectedFraction: 0.5,
       maxProbingFraction: 0.1,
-      maxFailuresInRow: 3,
+      maxConsecutiveFailures: 3,
       silentFactor: 6,
       minSilentMs: millisecondsInSecond,
       slowFactor: 2.5,
-      firstEjectionMs: 2 * millisecondsInSecond,
+      baseEjectionMs: 2 * millisecondsInSecond,
       maxEjectionMs: 60 * millisecondsInSecond,
       ...options,
     };
   }
 
   /**
-   * Judges all upstreams of one service.
+   * Updates the health state of all upstreams of one service.
    *
-   * @param upstreams - the live ones
-   * @param nowMs - by the monotonic clock
-   * @returns those whose state changed
+   * @param upstreams - the live upstreams
+   * @param nowMs - current time of the monotonic clock
+   * @returns the upstreams whose state has changed
    *
    * @example
-   * for (const upstream of detector.judge(upstreams, clock.monotonicMs())) place(upstream);
+   * for (const upstream of detector.evaluate(upstreams, clock.monotonicMs())) pool.update(upstream);
    */
-  judge(upstreams: readonly Upstream[], nowMs: number): Upstream[] {
-    const usualSlowness = this.#usualSlowness(upstreams);
+  evaluate(upstreams: readonly Upstream[], nowMs: number): Upstream[] {
+    const medianSlowness = this.#medianSlowness(upstreams);
     const changed: Upstream[] = [];
-    let out = upstreams.filter(({ health }) => health.state !== 'healthy').length;
+    let notHealthy = upstreams.filter(({ health }) => health.state !== 'healthy').length;
     let probing = upstreams.filter(({ health }) => health.state === 'probing').length;
-    const maxOut = Math.floor(upstreams.length * this.#options.maxEjectedFraction);
+    const maxNotHealthy = Math.floor(upstreams.length * this.#options.maxEjectedFraction);
     const maxProbing = Math.max(1, upstreams.length * this.#options.maxProbingFraction);
     for (const upstream of upstreams) {
       const { health } = upstream;
-      const before = health.state;
-      if (before === 'healthy' && out < maxOut) this.#judgeHealthy(health, usualSlowness, nowMs);
-      if (before === 'probing') this.#judgeProbing(health, usualSlowness, nowMs);
-      if (before === 'ejected' && nowMs >= health.ejectedUntilMs && probing < maxProbing) {
-        health.forget();
+      const previousState = health.state;
+      if (previousState === 'healthy' && notHealthy < maxNotHealthy)
+        this.#evaluateHealthy(health, medianSlowness, nowMs);
+      if (previousState === 'probing') this.#evaluateProbing(health, medianSlowness, nowMs);
+      if (previousState === 'ejected' && nowMs >= health.ejectedUntilMs && probing < maxProbing) {
+        health.reset();
         health.state = 'probing';
       }
       const { state } = health;
-      if (state === before) continue;
+      if (state === previousState) continue;
       changed.push(upstream);
-      out += Number(state !== 'healthy') - Number(before !== 'healthy');
-      probing += Number(state === 'probing') - Number(before === 'probing');
+      notHealthy += Number(state !== 'healthy') - Number(previousState !== 'healthy');
+      probing += Number(state === 'probing') - Number(previousState === 'probing');
     }
     return changed;
   }
 
-  #judgeHealthy(health: UpstreamHealth, usualSlowness: number | undefined, nowMs: number): void {
-    if (nowMs - health.healthySinceMs > forgivenAfterMs) health.ejections = 0;
-    const reason = this.#ailment(health, usualSlowness, minSamples, nowMs);
+  #evaluateHealthy(
+    health: UpstreamHealth,
+    medianSlowness: number | undefined,
+    nowMs: number,
+  ): void {
+    if (nowMs - health.healthySinceMs > ejectionBackoffResetMs) health.ejections = 0;
+    const reason = this.#findEjectionReason(health, medianSlowness, minFirstTokens, nowMs);
     if (reason !== undefined) this.#eject(health, reason, nowMs);
   }
 
-  #judgeProbing(health: UpstreamHealth, usualSlowness: number | undefined, nowMs: number): void {
-    const reason = this.#ailment(health, usualSlowness, probesToReturn, nowMs);
+  #evaluateProbing(
+    health: UpstreamHealth,
+    medianSlowness: number | undefined,
+    nowMs: number,
+  ): void {
+    const reason = this.#findEjectionReason(health, medianSlowness, firstTokensToRecover, nowMs);
     if (reason !== undefined) {
       this.#eject(health, reason, nowMs);
       return;
     }
-    if (health.successes < probesToReturn) return;
+    if (health.successes < firstTokensToRecover) return;
     health.state = 'healthy';
     health.healthySinceMs = nowMs;
   }
 
-  #ailment(
+  #findEjectionReason(
     health: UpstreamHealth,
-    usualSlowness: number | undefined,
-    samples: number,
+    medianSlowness: number | undefined,
+    requiredFirstTokens: number,
     nowMs: number,
   ): UpstreamHealth['reason'] {
     const isProbing = health.state === 'probing';
-    const maxFailures = isProbing ? 1 : this.#options.maxFailuresInRow;
-    if (health.failuresInRow >= maxFailures) return 'failing';
+    const maxFailures = isProbing ? 1 : this.#options.maxConsecutiveFailures;
+    if (health.consecutiveFailures >= maxFailures) return 'failing';
     if (this.#isSilent(health, isProbing, nowMs)) return 'silent';
-    if (usualSlowness === undefined || health.successes < samples) return undefined;
-    const isSlow = health.slowness > usualSlowness * this.#options.slowFactor;
+    if (medianSlowness === undefined || health.successes < requiredFirstTokens) return undefined;
+    const isSlow = health.slowness > medianSlowness * this.#options.slowFactor;
     return isSlow ? 'slow' : undefined;
   }
 
-  /** A sign of life from any later request shows that the upstream as a whole is not silent. */
+  /** Progress of any request after an overdue one started shows that the upstream is not silent. */
   #isSilent(health: UpstreamHealth, isProbing: boolean, nowMs: number): boolean {
     const { silentFactor, minSilentMs } = this.#options;
-    let silent = 0;
-    for (const { startedMs, usualMs } of health.silentRequests) {
+    let overdueRequests = 0;
+    for (const { startedMs, averageFirstTokenMs } of health.unansweredRequests) {
       if (health.lastProgressMs >= startedMs) continue;
-      const boundMs = Math.max(minSilentMs, (usualMs ?? minSilentMs) * silentFactor);
+      const silentAfterMs = Math.max(
+        minSilentMs,
+        (averageFirstTokenMs ?? minSilentMs) * silentFactor,
+      );
       const waitedMs = nowMs - startedMs;
-      if (waitedMs > boundMs * loneSilenceFactor) return true;
-      if (waitedMs > boundMs) silent += 1;
+      if (waitedMs > silentAfterMs * singleRequestSilenceFactor) return true;
+      if (waitedMs > silentAfterMs) overdueRequests += 1;
     }
-    return silent >= (isProbing ? 1 : 2);
+    return overdueRequests >= (isProbing ? 1 : 2);
   }
 
   #eject(health: UpstreamHealth, reason: UpstreamHealth['reason'], nowMs: number): void {
-    const { firstEjectionMs, maxEjectionMs, random } = this.#options;
-    const durationMs = Math.min(maxEjectionMs, firstEjectionMs * 2 ** health.ejections);
+    const { baseEjectionMs, maxEjectionMs, random } = this.#options;
+    const durationMs = Math.min(maxEjectionMs, baseEjectionMs * 2 ** health.ejections);
     health.ejections += 1;
     health.state = 'ejected';
     health.reason = reason;
-    health.ejectedUntilMs = nowMs + durationMs * (1 + ejectionSpread * random());
+    health.ejectedUntilMs = nowMs + durationMs * (1 + ejectionJitter * random());
   }
 
-  /** The median over the upstreams that are known; undefined when too few are. */
-  #usualSlowness(upstreams: readonly Upstream[]): number | undefined {
+  /** Median over the healthy upstreams with enough first tokens; undefined if there are too few. */
+  #medianSlowness(upstreams: readonly Upstream[]): number | undefined {
     const known = upstreams
-      .filter(({ health }) => health.state === 'healthy' && health.successes >= minSamples)
+      .filter(({ health }) => health.state === 'healthy' && health.successes >= minFirstTokens)
       .map(({ health }) => health.slowness)
       .sort((a, b) => a - b);
     if (known.length < minPeers) return undefined;
--- a/packages/routing/src/PrefixAffinity/index.ts
+++ b/packages/routing/src/PrefixAffinity/index.ts
@@ -1,88 +1,100 @@
 import type { CacheEvent } from '@acaciacrank/upstreams';
 import { estimatedLoad } from '../estimatedLoad/index.js';
-import { UpstreamChoice, type ChoiceContext } from '../UpstreamChoice/index.js';
+import { UpstreamChoice, type SelectionContext } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /** Options of {@link PrefixAffinity}. */
 export interface PrefixAffinityOptions {
-  /** How many candidates are drawn at random for each decision; as few are all looked at. */
-  draws?: number;
-  /** How much more load an upstream may have that holds the prefix, as a fraction of its places. */
-  affinityLoad?: number;
-  /** How many upstreams are remembered for one prefix. */
-  homesPerPrefix?: number;
-  /** How many prefixes are remembered; the one used longest ago goes first. */
+  /**
+   * Number of candidates drawn at random for each decision; 12 by default. If there are at most this
+   * many, all are compared.
+   */
+  sampleSize?: number;
+  /**
+   * How much higher the cost of an upstream that holds the prefix may be, in units of load (1 for an
+   * upstream at its full concurrency).
+   */
+  maxExtraLoad?: number;
+  /** Maximum number of upstreams recorded for each prefix. */
+  maxHoldersPerPrefix?: number;
+  /** Maximum number of recorded prefixes; the least recently used one is evicted first. */
   maxPrefixes?: number;
 }
 
-interface Home {
+interface PrefixHolder {
   readonly upstream: Upstream;
-  /** The life of the upstream that took the prefix in; a restart empties its cache. */
+  /** Incarnation of the upstream that cached the prefix; a restart empties its cache. */
   readonly incarnation: number;
 }
 
 /**
- * The default choice: the least loaded of a few candidates drawn at random and of those upstreams
- * that were sent the same prompt prefix before, which may carry somewhat more.
+ * The default policy. Compares the least loaded of a few randomly drawn candidates with the upstreams
+ * that were sent the same prompt prefix before, and prefers the latter up to a limit of extra load.
  *
- * The cost does not grow with the number of candidates. Drawing at random keeps instances from
- * flocking to the one upstream that a late report shows as idle.
+ * The number of compared candidates is bounded. Random sampling prevents all instances from sending to
+ * the one upstream that a late report shows as idle.
  */
 export class PrefixAffinity extends UpstreamChoice {
   override readonly name = 'prefixAffinity';
   readonly #options: Required<PrefixAffinityOptions>;
-  readonly #homes = new Map<number, readonly Home[]>();
+  readonly #holders = new Map<number, readonly PrefixHolder[]>();
 
   constructor(options: PrefixAffinityOptions = {}) {
     super();
     this.#options = {
-      draws: 12,
-      affinityLoad: 0.15,
-      homesPerPrefix: 3,
+      sampleSize: 12,
+      maxExtraLoad: 0.15,
+      maxHoldersPerPrefix: 3,
       maxPrefixes: 10_000,
       ...options,
     };
   }
 
-  override choose(candidates: readonly Upstream[], context: ChoiceContext): Upstream | undefined {
+  override choose(
+    candidates: readonly Upstream[],
+    context: SelectionContext,
+  ): Upstream | undefined {
     const { prefixHash } = context;
-    const drawn = this.#leastOfDrawn(candidates, context);
-    if (prefixHash === undefined || drawn === undefined) return drawn;
-    const home = this.#leastHome(prefixHash, candidates);
-    const limit = costOf(drawn) + this.#options.affinityLoad;
-    const chosen = home !== undefined && costOf(home) <= limit ? home : drawn;
-    this.#remember(prefixHash, chosen);
+    const sampled = this.#leastLoadedOfSample(candidates, context);
+    if (prefixHash === undefined || sampled === undefined) return sampled;
+    const holder = this.#leastLoadedHolder(prefixHash, candidates);
+    const maxHolderCost = costOf(sampled) + this.#options.maxExtraLoad;
+    const chosen = holder !== undefined && costOf(holder) <= maxHolderCost ? holder : sampled;
+    this.#recordHolder(prefixHash, chosen);
     return chosen;
   }
 
   /**
-   * An engine may have dropped a prefix to make room, or taken one in that another instance sent.
-   * The event is late: what was sent since counts for more, and corrects a wrong hint at its next
-   * use. An event of a former life is dropped by whoever reads the events.
+   * An engine may have evicted a prefix, or cached one that another instance sent. Events arrive late;
+   * a prefix sent since then takes precedence and corrects a wrong hint at its next use. Whoever reads
+   * the events discards those of an earlier incarnation.
    */
   override learnCacheEvent(upstream: Upstream, event: CacheEvent): void {
-    const homes = this.#homes.get(event.prefixHash);
+    const holders = this.#holders.get(event.prefixHash);
     if (event.kind === 'evicted') {
-      if (homes === undefined) return;
-      this.#homes.set(
+      if (holders === undefined) return;
+      this.#holders.set(
         event.prefixHash,
-        homes.filter((home) => home.upstream !== upstream),
+        holders.filter((holder) => holder.upstream !== upstream),
       );
       return;
     }
-    // Only prefixes that pass here are of use here: others would push them out.
-    if (homes !== undefined) this.#remember(event.prefixHash, upstream);
+    // Records only prefixes that this instance has sent; others would evict them.
+    if (holders !== undefined) this.#recordHolder(event.prefixHash, upstream);
   }
 
-  #leastOfDrawn(candidates: readonly Upstream[], { random }: ChoiceContext): Upstream | undefined {
+  #leastLoadedOfSample(
+    candidates: readonly Upstream[],
+    { random }: SelectionContext,
+  ): Upstream | undefined {
     let best: Upstream | undefined;
     let bestCost = Infinity;
-    const { draws } = this.#options;
-    const isAll = candidates.length <= draws;
+    const { sampleSize } = this.#options;
+    const isExhaustive = candidates.length <= sampleSize;
     const offset = Math.floor(random() * candidates.length);
-    for (let count = 0; count < Math.min(draws, candidates.length); count += 1) {
-      // Few candidates are all looked at, from a random one on, so that ties fall evenly.
-      const index = isAll
+    for (let count = 0; count < Math.min(sampleSize, candidates.length); count += 1) {
+      // A small set is compared in full, starting at a random index so that ties are broken evenly.
+      const index = isExhaustive
         ? (offset + count) % candidates.length
         : Math.floor(random() * candidates.length);
       const upstream = candidates[index];
@@ -95,34 +107,34 @@
     return best;
   }
 
-  #leastHome(prefixHash: number, candidates: readonly Upstream[]): Upstream | undefined {
+  #leastLoadedHolder(prefixHash: number, candidates: readonly Upstream[]): Upstream | undefined {
     let best: Upstream | undefined;
-    for (const { upstream, incarnation } of this.#homes.get(prefixHash) ?? []) {
+    for (const { upstream, incarnation } of this.#holders.get(prefixHash) ?? []) {
       if (upstream.incarnation !== incarnation || !candidates.includes(upstream)) continue;
       if (best === undefined || costOf(upstream) < costOf(best)) best = upstream;
     }
     return best;
   }
 
-  #remember(prefixHash: number, upstream: Upstream): void {
-    const homes = this.#homes.get(prefixHash) ?? [];
-    this.#homes.delete(prefixHash);
-    const others = homes.filter((home) => home.upstream !== upstream);
-    const home: Home = { upstream, incarnation: upstream.incarnation };
-    this.#homes.set(prefixHash, [home, ...others].slice(0, this.#options.homesPerPrefix));
-    const [oldest] = this.#homes.keys();
-    if (this.#homes.size > this.#options.maxPrefixes && oldest !== undefined) {
-      this.#homes.delete(oldest);
+  #recordHolder(prefixHash: number, upstream: Upstream): void {
+    const holders = this.#holders.get(prefixHash) ?? [];
+    this.#holders.delete(prefixHash);
+    const others = holders.filter((other) => other.upstream !== upstream);
+    const holder: PrefixHolder = { upstream, incarnation: upstream.incarnation };
+    this.#holders.set(prefixHash, [holder, ...others].slice(0, this.#options.maxHoldersPerPrefix));
+    const [oldest] = this.#holders.keys();
+    if (this.#holders.size > this.#options.maxPrefixes && oldest !== undefined) {
+      this.#holders.delete(oldest);
     }
   }
 }
 
-/** Counted with each load, so that slowness matters at idle upstreams too. */
-const idleCost = 0.1;
+/** Added to each load so that slowness also matters at idle upstreams. */
+const baseCost = 0.1;
 const maxSlowness = 10;
 
-/** Load, weighed by how much longer than usual first tokens take there. */
+/** Load multiplied by how much longer than usual the upstream takes to return first tokens. */
 function costOf(upstream: Upstream): number {
   const slowness = Math.min(maxSlowness, Math.max(1, upstream.health.slowness));
-  return (estimatedLoad(upstream) + idleCost) * slowness;
+  return (estimatedLoad(upstream) + baseCost) * slowness;
 }
--- a/packages/routing/src/PrefixAffinity/test.ts
+++ b/packages/routing/src/PrefixAffinity/test.ts
@@ -40,53 +40,57 @@
   random: createRandom(seed),
   prefixHash,
 });
-const dozen = () => Array.from({ length: 12 }, (_, index) => upstream(`e${index}`));
+const createUpstreams = () => Array.from({ length: 12 }, (_, index) => upstream(`e${index}`));
 const seeds = Array.from({ length: 50 }, (_, index) => index);
 
-test('a prefix stays with its upstream until that one has clearly more load', (t) => {
+test('a prefix stays at its upstream until the load there is clearly higher', (t) => {
   const choice = new PrefixAffinity();
-  const upstreams = dozen();
-  const home = choice.choose(upstreams, context(1));
-  if (home === undefined) throw new Error('no choice');
-  home.sentSinceReport = 1;
-  t.true(seeds.every((seed) => choice.choose(upstreams, context(seed)) === home));
-  home.sentSinceReport = 2;
-  t.not(choice.choose(upstreams, context(2)), home);
+  const upstreams = createUpstreams();
+  const holder = choice.choose(upstreams, context(1));
+  if (holder === undefined) throw new Error('no upstream chosen');
+  holder.sentSinceReport = 1;
+  t.true(seeds.every((seed) => choice.choose(upstreams, context(seed)) === holder));
+  holder.sentSinceReport = 2;
+  t.not(choice.choose(upstreams, context(2)), holder);
 });
 
-// An engine restarts under its id and its cache is empty. Callers would see slow first tokens while
-// its prefixes still flock there in the belief that they are cached.
-test('a restarted upstream is no longer preferred for what it had cached', (t) => {
+// Guards against prefix affinity to an engine that has restarted under the same id: its cache is empty,
+// so callers would see slow first tokens.
+test('a restarted upstream is no longer preferred for its earlier prefixes', (t) => {
   const choice = new PrefixAffinity();
-  const upstreams = dozen();
-  const home = choice.choose(upstreams, context(1));
-  if (home === undefined) throw new Error('no choice');
-  home.incarnation += 1;
-  home.sentSinceReport = 1;
-  t.not(choice.choose(upstreams, context(2)), home);
+  const upstreams = createUpstreams();
+  const holder = choice.choose(upstreams, context(1));
+  if (holder === undefined) throw new Error('no upstream chosen');
+  holder.incarnation += 1;
+  holder.sentSinceReport = 1;
+  t.not(choice.choose(upstreams, context(2)), holder);
 });
 
-test('a cache event is a hint: an evicted prefix is forgotten, an unknown one is not taken in', (t) => {
+test('a cache event removes an evicted prefix and does not add an unknown one', (t) => {
   const choice = new PrefixAffinity();
-  const upstreams = dozen();
-  const home = choice.choose(upstreams, context(1));
-  if (home === undefined) throw new Error('no choice');
-  home.sentSinceReport = 1;
-  choice.learnCacheEvent(home, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
-  t.not(choice.choose(upstreams, context(2)), home);
-  choice.learnCacheEvent(home, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
-  t.not(choice.choose(upstreams, context(2, 8)), home);
+  const upstreams = createUpstreams();
+  const holder = choice.choose(upstreams, context(1));
+  if (holder === undefined) throw new Error('no upstream chosen');
+  holder.sentSinceReport = 1;
+  choice.learnCacheEvent(holder, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
+  t.not(choice.choose(upstreams, context(2)), holder);
+  choice.learnCacheEvent(holder, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
+  t.not(choice.choose(upstreams, context(2, 8)), holder);
 });
 
-// An engine accepts and never answers. Its report shows an idle engine, so that a choice by reports
-// alone sends it everything. What this instance has under way there counts as load.
-test('an upstream that reports no load while requests pile up there is not idle', (t) => {
-  const choice = new PrefixAffinity({ draws: 12 });
-  const upstreams = dozen().map((other) => ({ ...other, sentSinceReport: 3 }));
-  const mute = { ...upstream('mute'), inFlightRequests: 9 };
-  t.true(seeds.every((seed) => choice.choose([mute, ...upstreams], context(seed)) !== mute));
+// Guards against an engine that accepts requests without ever answering: its report shows no load, so a
+// choice by reports alone would send it everything. In-flight requests of this instance count as load.
+test('an upstream that reports no load while requests accumulate there is not preferred', (t) => {
+  const choice = new PrefixAffinity({ sampleSize: 12 });
+  const upstreams = createUpstreams().map((other) => ({ ...other, sentSinceReport: 3 }));
+  const unresponsive = { ...upstream('mute'), inFlightRequests: 9 };
+  t.true(
+    seeds.every(
+      (seed) => choice.choose([unresponsive, ...upstreams], context(seed)) !== unresponsive,
+    ),
+  );
 });
 
-test('without a candidate there is no choice', (t) => {
+test('returns undefined without candidates', (t) => {
   t.is(new PrefixAffinity().choose([], context(1)), undefined);
 });
--- a/packages/routing/src/RateShare/test.ts
+++ b/packages/routing/src/RateShare/test.ts
@@ -5,7 +5,7 @@
 const windowMs = 4_000;
 const ids = ['a', 'b', 'c', 'd'] as InstanceId[];
 
-function open(count = ids.length) {
+function createShares(count = ids.length) {
   const clock = new ManualClock();
   const views = new Map(ids.map((id) => [id, ids.slice(0, count)]));
   const shares = ids
@@ -21,7 +21,7 @@
 // 100 requests per second.
 test('all instances combined stay within the limit under overload', async (t) => {
   for (const limit of [0.5, 1, 1.5, 4, 30]) {
-    const { clock, shares } = open();
+    const { clock, shares } = createShares();
     const random = createRandom(1);
     const sent: number[] = [];
     for (const share of shares) share.limit = limit;
@@ -42,7 +42,7 @@
 
 // Guards against two instances using the same share while they disagree about who shares the limit.
 test('a lost share ends at once and a gained share starts after a delay', async (t) => {
-  const { clock, views, shares } = open(2);
+  const { clock, views, shares } = createShares(2);
   for (const share of shares) share.limit = 1;
   await clock.advance(2_000);
   const [holder, other] = shares[0]?.waitMs === 0 ? shares : [...shares].reverse();
@@ -62,7 +62,7 @@
 });
 
 test('there is no wait without a limit or after a limit is removed', async (t) => {
-  const { clock, shares } = open(1);
+  const { clock, shares } = createShares(1);
   const [share] = shares as [RateShare];
   share.take();
   t.is(share.waitMs, 0);
--- a/packages/routing/src/RetryBudget/index.ts
+++ b/packages/routing/src/RetryBudget/index.ts
@@ -10,11 +10,11 @@
   clock: Clock;
   /** Retries earned by each first attempt. */
   retriesPerAttempt?: number;
-  /** Retries earned by time alone, so that a quiet class may still retry. */
+  /** Retries earned over time, so that a class with few requests may still retry. */
   retriesPerSecond?: number;
-  /** The most retries that can be saved up; a new bucket starts with as many. */
+  /** Capacity of a bucket, in retries; a new bucket starts full. */
   maxRetries?: number;
-  /** How many buckets are kept; the one that was used longest ago goes first. */
+  /** Maximum number of buckets; the least recently used one is evicted first. */
   maxBuckets?: number;
   /** Returns the number of instances that use the same upstreams, including this one; 1 by default. */
   instanceCount?: () => number;
@@ -22,7 +22,7 @@
 
 /**
  * Number of instances up to which each has the full `retriesPerSecond` and `maxRetries`. A larger fleet
- * divides what this many instances have, except that each instance can always save up one retry.
+ * divides the total of this many instances, except that each instance can always accumulate one retry.
  */
 const maxFullShares = 5;
 
@@ -32,12 +32,12 @@
 }
 
 /**
- * Bounds the retries caused by each upstream's failures, apart for each class, by token buckets.
+ * Limits the retries caused by each upstream's failures with a token bucket for each upstream and class.
  *
- * Guards against retry storms: when an upstream fails, each request that failed there would
- * otherwise come again at once and multiply the load just when capacity is short. With the budget,
- * retries stay a small fraction of first attempts, whatever fails. Classes have their own buckets,
- * so that failing low-priority work cannot spend what the highest class needs.
+ * Prevents retry storms: when an upstream fails, retrying every failed request would multiply the load
+ * just when capacity is short. With the budget, retries stay a small fraction of first attempts. Classes
+ * have separate buckets, so that failing low-priority requests cannot use up the retries of the highest
+ * class.
  */
 export class RetryBudget {
   readonly #options: Required<RetryBudgetOptions>;
@@ -55,22 +55,22 @@
   }
 
   /**
-   * Notes a first attempt, which earns a part of a retry.
+   * Records a first attempt, which earns a fraction of a retry.
    *
-   * @param upstreamId - where it was sent
-   * @param className - its class
+   * @param upstreamId - the upstream it was sent to
+   * @param className - the request's class
    */
   recordAttempt(upstreamId: UpstreamId, className: ClassName): void {
-    const bucket = this.#bucket(upstreamId, className);
+    const bucket = this.#refillBucket(upstreamId, className);
     this.#earn(bucket, this.#options.retriesPerAttempt);
   }
 
   /**
-   * Takes one retry out of the budget.
+   * Takes one retry from the budget.
    *
    * @param upstreamId - the upstream whose failure causes the retry, not the one tried next
    * @param className - the request's class
-   * @returns whether the retry may be made; when not, the failure is the final answer
+   * @returns whether the retry is allowed; if not, the failure is the final response
    *
    * @example
    * const budget = new RetryBudget({ clock, maxRetries: 1, retriesPerSecond: 0 });
@@ -80,13 +80,13 @@
    * //=> false
    */
   tryRetry(upstreamId: UpstreamId, className: ClassName): boolean {
-    const bucket = this.#bucket(upstreamId, className);
+    const bucket = this.#refillBucket(upstreamId, className);
     if (bucket.retries < 1) return false;
     bucket.retries -= 1;
     return true;
   }
 
-  #bucket(upstreamId: UpstreamId, className: ClassName): Bucket {
+  #refillBucket(upstreamId: UpstreamId, className: ClassName): Bucket {
     const key = `${upstreamId}\n${className}`;
     const nowMs = this.#options.clock.monotonicMs();
     const { maxRetries, retriesPerSecond } = this.#options;
@@ -95,12 +95,12 @@
     const elapsedSeconds = (nowMs - bucket.updatedMs) / millisecondsInSecond;
     bucket.updatedMs = nowMs;
     this.#earn(bucket, elapsedSeconds * retriesPerSecond * share);
-    this.#keep(key, bucket);
+    this.#markUsed(key, bucket);
     return bucket;
   }
 
   #earn(bucket: Bucket, retries: number): void {
-    // A share below one retry could never be saved up.
+    // With a capacity below one, no retry could ever be accumulated.
     const { maxRetries } = this.#options;
     const capacity = Math.max(Math.min(1, maxRetries), maxRetries * this.#share);
     bucket.retries = Math.min(capacity, bucket.retries + retries);
@@ -116,8 +116,8 @@
     return Math.min(1, maxFullShares / Math.max(1, this.#options.instanceCount()));
   }
 
-  /** Puts the bucket last in order of use and drops the first one when there are too many. */
-  #keep(key: string, bucket: Bucket): void {
+  /** Marks the bucket as most recently used and evicts the least recently used one if there are too many. */
+  #markUsed(key: string, bucket: Bucket): void {
     this.#buckets.delete(key);
     this.#buckets.set(key, bucket);
     const [oldest] = this.#buckets.keys();
--- a/packages/routing/src/RetryBudget/test.ts
+++ b/packages/routing/src/RetryBudget/test.ts
@@ -5,9 +5,9 @@
 const engine = 'e1' as UpstreamId;
 const shift = 'shift' as ClassName;
 
-// An engine fails every request for a while. Without a budget each of them would be sent again and
-// the fleet would see twice its load. Callers see refusals from the failed engine's share alone.
-test('while an upstream fails everything, retries stay a tenth of first attempts', (t) => {
+// Guards against doubling the load on the fleet: an engine fails every request, and without a budget each
+// would be retried. Only requests sent to the failing engine are refused.
+test('while an upstream fails all requests, retries stay at a tenth of first attempts', (t) => {
   const budget = new RetryBudget({ clock: new ManualClock(), maxRetries: 5 });
   let retries = 0;
   for (let attempt = 0; attempt < 1_000; attempt += 1) {
@@ -17,7 +17,7 @@
   t.true(retries >= 95 && retries <= 106, `${retries} retries`);
 });
 
-test('one class cannot spend the retries of another, nor one upstream those of another', (t) => {
+test('classes and upstreams have separate budgets', (t) => {
   const budget = new RetryBudget({ clock: new ManualClock(), maxRetries: 1 });
   t.true(budget.tryRetry(engine, 'tagging' as ClassName));
   t.false(budget.tryRetry(engine, 'tagging' as ClassName));
@@ -25,7 +25,7 @@
   t.true(budget.tryRetry('e2' as UpstreamId, shift));
 });
 
-test('time alone earns retries up to the bound', async (t) => {
+test('retries are earned over time up to the capacity', async (t) => {
   const clock = new ManualClock();
   const budget = new RetryBudget({ clock, maxRetries: 2, retriesPerSecond: 1 });
   const take = () => [1, 2, 3].filter(() => budget.tryRetry(engine, shift)).length;
@@ -55,6 +55,6 @@
       if (budget.tryRetry(engine, shift)) retries += 1;
     }
   }
-  // A tenth of the attempts, and what five instances start with and earn by time.
+  // A tenth of the attempts, plus what five instances start with and earn over time.
   t.true(retries <= 0.1 * attempts + 5 * 5 + 5 * 0.5 * 60, `${retries} of ${attempts}`);
 });
--- a/packages/routing/src/RetryShare/index.ts
+++ b/packages/routing/src/RetryShare/index.ts
@@ -3,68 +3,68 @@
 /** Options of {@link RetryShare}. */
 export interface RetryShareOptions {
   clock: Clock;
-  /** Repeats allowed for each request of the window. */
+  /** Retries allowed for each request in the window. */
   repeatsPerRequest: number;
-  /** Repeats allowed in a window beside that, over all instances. */
+  /** Additional retries allowed per window, for all instances combined. */
   freeRepeats: number;
   /** Length of the sliding window, in milliseconds. */
   windowMs: number;
-  /** How many instances share the allowance now, this one included. */
+  /** Returns the number of instances that currently share the allowance, including this one. */
   instanceCount: () => number;
 }
 
 /**
- * The part of the allowance that is never used: another instance may see one instance fewer than
- * there are, and a restarted process does not know what it repeated before.
+ * Fraction of the allowance that is used. The rest is a safety margin: another instance may count one
+ * instance too few, and a restarted process does not know its earlier retries.
  */
-const usedShare = 0.6;
+const usableFraction = 0.6;
 
 /**
- * This instance's share of the repeats that a service may receive from all instances together.
+ * This instance's share of the retries that a service may receive from all instances combined.
  *
- * Guards against retry storms: when a service fails, each request that failed there would come again
- * at once and multiply the load just when capacity is short. Each instance keeps to its own requests
- * and its part of the free repeats in every sliding window, so that the sum holds without a message.
+ * Prevents retry storms: when a service fails, retrying every failed request would multiply the load just
+ * when capacity is short. In every sliding window, each instance limits its retries by its own requests
+ * and its share of the additional retries, so that the total is bounded without communication.
  */
 export class RetryShare {
   readonly #options: RetryShareOptions;
   readonly #requests = new Map<ServiceName, number[]>();
-  readonly #repeats = new Map<ServiceName, number[]>();
+  readonly #retries = new Map<ServiceName, number[]>();
 
   constructor(options: RetryShareOptions) {
     this.#options = options;
   }
 
-  /** Counts a request's first send to a service. */
+  /** Records the first attempt of a request to a service. */
   recordRequest(service: ServiceName): void {
-    this.#recent(this.#requests, service).push(this.#options.clock.monotonicMs());
+    this.#pruneToWindow(this.#requests, service).push(this.#options.clock.monotonicMs());
   }
 
   /**
-   * Takes one repeat out of the share.
+   * Takes one retry from this instance's share.
    *
-   * @param service - where the repeat would go
-   * @returns whether it may be made
+   * @param service - the service to be called again
+   * @returns whether the retry is allowed
    *
    * @example
    * if (!share.tryRepeat(service)) return failure;
    */
   tryRepeat(service: ServiceName): boolean {
     const { clock, repeatsPerRequest, freeRepeats, instanceCount } = this.#options;
-    const requests = this.#recent(this.#requests, service).length;
-    const repeats = this.#recent(this.#repeats, service);
+    const requests = this.#pruneToWindow(this.#requests, service).length;
+    const retries = this.#pruneToWindow(this.#retries, service);
     const allowance = repeatsPerRequest * requests + freeRepeats / instanceCount();
-    if (repeats.length + 1 > allowance * usedShare) return false;
-    repeats.push(clock.monotonicMs());
+    if (retries.length + 1 > allowance * usableFraction) return false;
+    retries.push(clock.monotonicMs());
     return true;
   }
 
-  #recent(times: Map<ServiceName, number[]>, service: ServiceName): number[] {
-    const list = times.get(service) ?? [];
-    times.set(service, list);
+  #pruneToWindow(times: Map<ServiceName, number[]>, service: ServiceName): number[] {
+    const recentTimes = times.get(service) ?? [];
+    times.set(service, recentTimes);
     const sinceMs = this.#options.clock.monotonicMs() - this.#options.windowMs;
-    const firstRecent = list.findIndex((atMs) => atMs > sinceMs);
-    list.splice(0, firstRecent < 0 ? list.length : firstRecent);
-    return list;
+    const firstRecent = recentTimes.findIndex((atMs) => atMs > sinceMs);
+    recentTimes.splice(0, firstRecent < 0 ? recentTimes.length : firstRecent);
+    return recentTimes;
   }
 }
--- a/packages/routing/src/RoundRobin/index.ts
+++ b/packages/routing/src/RoundRobin/index.ts
@@ -1,7 +1,7 @@
 import { UpstreamChoice } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
-/** Takes the candidates in turn, whatever their load. The baseline of experiments. */
+/** Cycles through the candidates regardless of their load. Serves as a baseline in experiments. */
 export class RoundRobin extends UpstreamChoice {
   override readonly name = 'roundRobin';
   #turn = 0;
--- a/packages/routing/src/ShareLimit/index.ts
+++ b/packages/routing/src/ShareLimit/index.ts
@@ -1,25 +1,25 @@
 import { ConcurrencyLimit, type ReceivedReport } from '../ConcurrencyLimit/index.js';
 
 /**
- * This instance's even share of the upstream's places, for the sum alone: no single upstream is
- * ever full. The baseline of experiments.
+ * Adds this instance's even share of the upstream's concurrency to the sum over upstreams, without
+ * limiting any single upstream. Serves as a baseline in experiments.
  */
 export class ShareLimit extends ConcurrencyLimit {
-  #places = 1;
+  #slots = 1;
 
-  override get places(): number {
-    return this.#places;
+  override get slots(): number {
+    return this.#slots;
   }
 
   override hasRoom(): boolean {
     return true;
   }
 
-  override countedPlaces(): number {
-    return this.#places;
+  override countedSlots(): number {
+    return this.#slots;
   }
 
-  override learnReport({ report, instances }: ReceivedReport): void {
-    this.#places = report.maxRunningRequests / Math.max(1, instances);
+  override applyReport({ report, instances }: ReceivedReport): void {
+    this.#slots = report.maxRunningRequests / Math.max(1, instances);
   }
 }
--- a/packages/routing/src/TwoChoices/index.ts
+++ b/packages/routing/src/TwoChoices/index.ts
@@ -1,15 +1,18 @@
 import { estimatedLoad } from '../estimatedLoad/index.js';
-import { UpstreamChoice, type ChoiceContext } from '../UpstreamChoice/index.js';
+import { UpstreamChoice, type SelectionContext } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
-/** Takes the less loaded of two candidates drawn at random. */
+/** Power of two choices: picks the less loaded of two candidates drawn at random. */
 export class TwoChoices extends UpstreamChoice {
   override readonly name = 'twoChoices';
 
-  override choose(candidates: readonly Upstream[], context: ChoiceContext): Upstream | undefined {
-    const draw = () => candidates[Math.floor(context.random() * candidates.length)];
-    const first = draw();
-    const second = draw();
+  override choose(
+    candidates: readonly Upstream[],
+    context: SelectionContext,
+  ): Upstream | undefined {
+    const drawCandidate = () => candidates[Math.floor(context.random() * candidates.length)];
+    const first = drawCandidate();
+    const second = drawCandidate();
     if (first === undefined || second === undefined) return first ?? second;
     return estimatedLoad(first) <= estimatedLoad(second) ? first : second;
   }
--- a/packages/routing/src/UpstreamChoice/index.ts
+++ b/packages/routing/src/UpstreamChoice/index.ts
@@ -2,29 +2,29 @@
 import type { CacheEvent } from '@acaciacrank/upstreams';
 import type { Upstream } from '../types.js';
 
-/** What a choice may look at besides the candidates. */
-export interface ChoiceContext {
+/** Input to a selection besides the candidates. */
+export interface SelectionContext {
   readonly random: Random;
-  /** Hash of the prompt's beginning, for prefix affinity; undefined for plain services. */
+  /** Hash of the prompt's prefix, for prefix affinity; undefined for services other than engines. */
   readonly prefixHash: number | undefined;
 }
 
-/** Chooses the upstream for one request. */
+/** A load-balancing policy that chooses the upstream for each request. */
 export abstract class UpstreamChoice {
-  /** The policy's name, for experiments and settings. */
+  /** Name of the policy in experiments and settings. */
   abstract readonly name: string;
 
   /**
-   * Chooses among live candidates.
+   * Chooses one of the live candidates.
    *
-   * @param candidates - all that may be chosen; must not be kept, since it changes
-   * @returns the choice; undefined when there is no candidate
+   * @param candidates - must not be retained, since the array changes later
+   * @returns the chosen upstream; undefined without candidates
    */
-  abstract choose(candidates: readonly Upstream[], context: ChoiceContext): Upstream | undefined;
+  abstract choose(candidates: readonly Upstream[], context: SelectionContext): Upstream | undefined;
 
   /**
-   * Takes a hint of what an engine's prefix cache holds: late, with gaps, and possibly from before
-   * the engine's restart. Policies without prefix affinity have no use for it.
+   * Handles a prefix cache event of an engine. Events are hints: they arrive late and with gaps, and may
+   * date from before a restart of the engine. Policies without prefix affinity ignore them.
    */
   learnCacheEvent(upstream: Upstream, event: CacheEvent): void {
     void upstream;
--- a/packages/routing/src/UpstreamHealth/index.ts
+++ b/packages/routing/src/UpstreamHealth/index.ts
@@ -1,92 +1,93 @@
-/** One request that has not had a sign of life yet. */
-export interface SilentRequest {
+/** A request that has not received a first token yet. */
+export interface UnansweredRequest {
   readonly startedMs: number;
-  /** How long a first token usually takes, in milliseconds; undefined before it is known. */
-  readonly usualMs: number | undefined;
+  /** Average time to the first token for its service and priority, in milliseconds; undefined if unknown. */
+  readonly averageFirstTokenMs: number | undefined;
 }
 
-/** Weight of the newest first token in the average. */
-const newestWeight = 0.2;
+/** Minimum weight of the latest sample in the moving average of {@link UpstreamHealth.slowness}. */
+const minSmoothingFactor = 0.2;
 
 /**
- * What this instance has seen of an upstream itself, and whether it may be used.
+ * Health of an upstream as observed by this instance's own requests.
  *
- * `ejected` takes no work; `probing` takes one request at a time, to see whether it is well again.
+ * An `ejected` upstream receives no requests; a `probing` one receives one request at a time, to find out
+ * whether it has recovered.
  */
 export class UpstreamHealth {
   state: 'healthy' | 'probing' | 'ejected' = 'healthy';
-  /** Why it was ejected last. */
+  /** Reason for the last ejection. */
   reason: 'failing' | 'silent' | 'slow' | undefined;
-  /** When an ejected upstream may be tried again, by the monotonic clock. */
+  /** Time at which an ejected upstream may be probed, by the monotonic clock. */
   ejectedUntilMs = 0;
-  /** Ejections without a long time of health between them. */
+  /** Number of ejections without a long healthy period between them; determines the backoff. */
   ejections = 0;
-  /** When it became healthy again after its last ejection, by the monotonic clock. */
+  /** Time at which it became healthy after its last ejection, by the monotonic clock. */
   healthySinceMs = -Infinity;
-  readonly #silent = new Set<SilentRequest>();
-  #failuresInRow = 0;
+  readonly #unanswered = new Set<UnansweredRequest>();
+  #consecutiveFailures = 0;
   #successes = 0;
   #slowness = 1;
   #lastProgressMs = -Infinity;
 
-  /** Failures without a sign of life between them. */
-  get failuresInRow(): number {
-    return this.#failuresInRow;
+  /** Number of failures since the last progress of any request. */
+  get consecutiveFailures(): number {
+    return this.#consecutiveFailures;
   }
 
-  /** First tokens seen since the last ejection. */
+  /** Number of first tokens received since the last reset. */
   get successes(): number {
     return this.#successes;
   }
 
-  /** Time to the first token as a multiple of what is usual at the service; an average. */
+  /** Moving average of the time to the first token, as a multiple of the service's average. */
   get slowness(): number {
     return this.#slowness;
   }
 
-  /** When any request last had a sign of life, by the monotonic clock. */
+  /** Time of the last progress of any request, by the monotonic clock. */
   get lastProgressMs(): number {
     return this.#lastProgressMs;
   }
 
-  /** Requests that had no sign of life yet, the oldest first. */
-  get silentRequests(): ReadonlySet<SilentRequest> {
-    return this.#silent;
+  /** Requests without a first token, in order of their start. */
+  get unansweredRequests(): ReadonlySet<UnansweredRequest> {
+    return this.#unanswered;
   }
 
-  begin(request: SilentRequest): void {
-    this.#silent.add(request);
+  begin(request: UnansweredRequest): void {
+    this.#unanswered.add(request);
   }
 
-  /** Notes any sign of life. */
-  noteProgress(nowMs: number): void {
+  /** Records progress of any request, such as a token. */
+  recordProgress(nowMs: number): void {
     this.#lastProgressMs = nowMs;
-    this.#failuresInRow = 0;
+    this.#consecutiveFailures = 0;
   }
 
-  /** Notes a first token that took so many times as long as is usual. */
-  noteFirstToken(request: SilentRequest, slowness: number): void {
-    this.#silent.delete(request);
+  /** Records a first token and its latency as a multiple of the service's average. */
+  recordFirstToken(request: UnansweredRequest, slowness: number): void {
+    this.#unanswered.delete(request);
     this.#successes += 1;
-    const weight = Math.max(newestWeight, 1 / this.#successes);
+    const weight = Math.max(minSmoothingFactor, 1 / this.#successes);
     this.#slowness += weight * (slowness - this.#slowness);
   }
 
-  noteFailure(request: SilentRequest): void {
-    this.#silent.delete(request);
-    this.#failuresInRow += 1;
+  recordFailure(request: UnansweredRequest): void {
+    this.#unanswered.delete(request);
+    this.#consecutiveFailures += 1;
   }
 
-  /** Notes that a request ended, in whichever way. */
-  end(request: SilentRequest): void {
-    this.#silent.delete(request);
+  /** Records that a request has ended, whatever its outcome. */
+  end(request: UnansweredRequest): void {
+    this.#unanswered.delete(request);
   }
 
-  /** Forgets what was seen, since it is not what the upstream does now. */
-  forget(): void {
-    this.#failuresInRow = 0;
+  /** Clears the observations, which no longer describe the upstream's present state. */
+  reset(): void {
+    this.#consecutiveFailures = 0;
     this.#successes = 0;
     this.#slowness = 1;
-    this.#silent.clear();
+    this.#unanswered.clear();
   }
 }
--- a/packages/routing/src/UpstreamRegistry/index.ts
+++ b/packages/routing/src/UpstreamRegistry/index.ts
@@ -17,7 +17,7 @@
 import { chooseSubset, type ChooseSubsetOptions } from '../chooseSubset/index.js';
 import type { ConcurrencyLimit } from '../ConcurrencyLimit/index.js';
 import { OutlierDetector, type OutlierDetectorOptions } from '../OutlierDetector/index.js';
-import { UpstreamHealth, type SilentRequest } from '../UpstreamHealth/index.js';
+import { UpstreamHealth, type UnansweredRequest } from '../UpstreamHealth/index.js';
 import { UpstreamUse } from '../UpstreamUse/index.js';
 import type { Upstream, UpstreamClients } from '../types.js';
 
@@ -26,98 +26,100 @@
   list: InstanceList;
   clients: UpstreamClients;
   clock: Clock;
-  /** The instance that owns the registry; without it, every upstream is used. */
+  /** The instance that owns the registry, which uses a subset of the upstreams; uses all if omitted. */
   instanceId?: InstanceId;
-  /** How many instances share the upstreams, when that is known better than from the list. */
+  /** Returns the number of instances that share the upstreams; by default, the live ones in the list. */
   usableInstances?: () => number;
-  /** How large a part of the upstreams an instance uses. */
+  /** Size of the subset of upstreams that an instance uses. */
   subset?: ChooseSubsetOptions;
-  /** How often the list is read, in milliseconds. */
+  /** Interval at which the list is read, in milliseconds; 1000 by default. */
   listIntervalMs?: number;
-  /** How often each upstream's load is read, in milliseconds. */
+  /** Interval at which each upstream's load is read, in milliseconds; 500 by default. */
   loadIntervalMs?: number;
-  /** Makes the limit of each upstream. */
+  /** Creates the limit of each upstream; {@link AimdLimit} by default. */
   createLimit?: () => ConcurrencyLimit;
-  /** When upstreams are taken out of use. */
+  /** Outlier ejection. */
   outliers?: OutlierDetectorOptions;
-  /** Takes the hints of what engines have cached. */
+  /** Called for each prefix cache event of an engine; events are hints. */
   onCacheEvent?: (upstream: Upstream, event: CacheEvent) => void;
 }
 
-/** An upstream with what only the registry looks at. */
+/** An upstream and its state that is private to the registry. */
 interface Entry {
-  /** As the list said last. */
+  /** Latest list entry. */
   listed: ListedInstance;
   readonly upstream: Upstream;
+  /** Requests started minus ended since the last report was measured. */
   readonly sent: SentLog;
-  /** Ends the polling and marks the entry as no longer used. */
+  /** Stops the polling; aborted when the entry is removed. */
   readonly stop: AbortController;
   polling: Promise<void>;
   lastCacheSequence: number;
-  /** When it last refused work, by this machine's wall clock. */
+  /** Time of its last refusal of a request, by this machine's wall clock. */
   refusedAtMs: number;
 }
 
-/** How long a load report may take, in milliseconds. */
+/** Timeout for reading a load report or cache events, in milliseconds. */
 const loadTimeoutMs = 2_000;
 
-/** How often health is judged, in milliseconds. */
-const judgeIntervalMs = 100;
+/** Interval of health evaluations, in milliseconds. */
+const healthCheckIntervalMs = 100;
 
-/** The priority under which requests without one are counted. */
-const noPriority = -1;
+/** Priority under which first tokens of requests without a priority are recorded. */
+const unspecifiedPriority = -1;
 
-/** A report this far from this machine's wall clock comes from a clock that cannot be compared. */
-const maxClockDifferenceMs = 10_000;
+/** If a report deviates further from this machine's wall clock, the clocks are not comparable. */
+const maxClockSkewMs = 10_000;
 
-/** Knows the upstreams of each service: which there are, their clients and their load. */
+/** Tracks the upstreams of each service, their clients, load and health. */
 export class UpstreamRegistry implements AsyncDisposable {
   readonly #options: UpstreamRegistryOptions & { listIntervalMs: number; loadIntervalMs: number };
   readonly #entries = new Map<UpstreamId, Entry>();
-  readonly #byUpstream = new WeakMap<Upstream, Entry>();
+  readonly #entryByUpstream = new WeakMap<Upstream, Entry>();
   readonly #pools = new Map<ServiceName, ServicePool>();
   readonly #detector: OutlierDetector;
   readonly #closing = new Set<Promise<void>>();
   readonly #stop = new AbortController();
-  readonly #owned = new DisposableStore();
+  readonly #resources = new DisposableStore();
   #liveInstances: readonly InstanceId[] = [];
 
   constructor(options: UpstreamRegistryOptions) {
     this.#options = { listIntervalMs: 1_000, loadIntervalMs: 500, ...options };
     this.#detector = new OutlierDetector(options.outliers);
-    // One task an upstream listens to it.
+    // Disables the warning about a listener leak: each upstream has a task that listens to the signal.
     setMaxListeners(0, this.#stop.signal);
   }
 
-  /** Reads the list once, then follows it until disposed of. */
+  /** Reads the list once, then polls it until disposed of. */
   async start(): Promise<void> {
-    // With the platform's list away at this moment the instance would end; it is read again soon.
+    // If the list is unavailable, a throw would terminate the instance; the next poll retries.
     await this.refresh().catch(() => undefined);
-    const following = Promise.all([this.#follow(), this.#judgeHealth()]);
-    this.#owned.add({ [Symbol.asyncDispose]: () => following.then(() => undefined) });
+    const polling = Promise.all([this.#pollList(), this.#runHealthChecks()]);
+    this.#resources.add({ [Symbol.asyncDispose]: () => polling.then(() => undefined) });
   }
 
   /**
-   * Reads the list once. An upstream that is no longer listed takes no new work; its client is
-   * closed when the last stream there has ended.
+   * Reads the list once. An upstream that is no longer listed receives no new requests; its client is
+   * closed when the last request there has ended.
    */
   async refresh(): Promise<void> {
     const list = await this.#options.list.read();
     this.#liveInstances = list
       .filter(({ role, state }) => role === 'entry' && state === 'live')
       .map(({ id }) => id);
-    const wanted = this.#wanted(list.filter(({ role }) => role !== 'entry'));
+    const wanted = this.#selectListed(list.filter(({ role }) => role !== 'entry'));
     for (const [id, entry] of this.#entries) {
-      // The same id at another address is another life of it, whose streams and cache are gone.
-      if (wanted.get(id)?.url !== entry.listed.url) this.#forget(entry);
+      // The same id at another address is a new process without the old streams and cache.
+      if (wanted.get(id)?.url !== entry.listed.url) this.#removeEntry(entry);
     }
-    for (const listed of wanted.values()) this.#learn(listed);
+    for (const listed of wanted.values()) this.#upsertEntry(listed);
   }
 
   /**
-   * The upstreams of a service that may be given work, without those to leave out.
+   * Returns the upstreams of a service that may receive requests.
    *
-   * @returns changes with the registry: use it at once
+   * @param without - ids of upstreams to exclude
+   * @returns possibly a live view of the registry; do not retain it
    */
   candidates(
     service: ServiceName,
@@ -128,83 +130,85 @@
     return candidates.filter(({ id }) => !without.has(id));
   }
 
-  /** All upstreams, for status. */
+  /** Returns all upstreams, for status output. */
   all(): readonly Upstream[] {
     return [...this.#entries.values()].map(({ upstream }) => upstream);
   }
 
-  /** How many requests this instance may have under way at a service's upstreams together. */
+  /** Returns the limit for this instance's in-flight requests at all upstreams of a service combined. */
   places(service: ServiceName): number {
-    return this.#pools.get(service)?.places ?? 0;
+    return this.#pools.get(service)?.slots ?? 0;
   }
 
   /**
-   * How long a first token usually takes once a request was sent, in milliseconds; 0 before any was
-   * seen.
+   * Returns the average time from sending a request to its first token, in milliseconds; 0 without
+   * samples.
    */
   usualFirstTokenMs(service: ServiceName, priority: number): number {
-    return this.#pools.get(service)?.usualFirstTokenMs(priority) ?? 0;
+    return this.#pools.get(service)?.averageFirstTokenMs(priority) ?? 0;
   }
 
   /**
-   * Marks a request as under way.
+   * Registers an in-flight request.
    *
-   * @param upstream - where it is sent
-   * @param priority - its priority, since first tokens are compared among equals
-   * @returns to be told of its progress and failure, and to be disposed of when it has ended
+   * @param upstream - the upstream it is sent to
+   * @param priority - its priority; times to the first token are averaged for each priority
+   * @returns a handle to report progress and failure, to be disposed of when the request has ended
+   * @throws RouterError `internal` if the upstream does not come from this registry
    */
-  begin(upstream: Upstream, priority = noPriority): UpstreamUse {
-    const entry = this.#byUpstream.get(upstream);
-    if (entry === undefined) throw new RouterError('internal', `${upstream.id} is unknown`);
-    return new RegistryUse(entry, priority, {
+  begin(upstream: Upstream, priority = unspecifiedPriority): UpstreamUse {
+    const entry = this.#entryByUpstream.get(upstream);
+    if (entry === undefined)
+      throw new RouterError('internal', `upstream ${upstream.id} is not in the registry`);
+    return new RegistryRequest(entry, priority, {
       clock: this.#options.clock,
-      pool: this.#pool(upstream.service),
+      pool: this.#getOrCreatePool(upstream.service),
       ended: () => {
-        if (entry.stop.signal.aborted) this.#closeIdle(entry);
+        if (entry.stop.signal.aborted) this.#closeIfIdle(entry);
       },
       failed: (error) => {
-        this.#takeFailure(entry, error);
+        this.#handleFailure(entry, error);
       },
     });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    await this.#owned.dispose();
-    for (const entry of this.#entries.values()) this.#forget(entry);
+    await this.#resources.dispose();
+    for (const entry of this.#entries.values()) this.#removeEntry(entry);
     await Promise.all(this.#closing);
   }
 
-  /** The listed upstreams that this instance uses, by id. */
-  #wanted(listed: readonly ListedInstance[]): Map<UpstreamId, ListedInstance> {
+  /** Returns the listed upstreams that this instance uses, by id. */
+  #selectListed(listed: readonly ListedInstance[]): Map<UpstreamId, ListedInstance> {
     const byId = new Map(listed.map((entry) => [entry.id as unknown as UpstreamId, entry]));
     const { instanceId, subset } = this.#options;
     if (instanceId === undefined) return byId;
     const instances = [...new Set([instanceId, ...this.#liveInstances])];
     for (const service of new Set(listed.map((entry) => entry.service))) {
       const ids = [...byId].filter(([, entry]) => entry.service === service).map(([id]) => id);
-      const mine = chooseSubset(instanceId, instances, ids, subset);
-      for (const id of ids) if (!mine.has(id)) byId.delete(id);
+      const selected = chooseSubset(instanceId, instances, ids, subset);
+      for (const id of ids) if (!selected.has(id)) byId.delete(id);
     }
     return byId;
   }
 
-  #learn(listed: ListedInstance): void {
+  #upsertEntry(listed: ListedInstance): void {
     const id = listed.id as unknown as UpstreamId;
-    const known = this.#entries.get(id);
-    if (known !== undefined) {
-      known.listed = listed;
-      this.#place(known);
+    const existing = this.#entries.get(id);
+    if (existing !== undefined) {
+      existing.listed = listed;
+      this.#updatePool(existing);
       return;
     }
-    const entry = this.#open(id, listed);
+    const entry = this.#createEntry(id, listed);
     this.#entries.set(id, entry);
-    this.#byUpstream.set(entry.upstream, entry);
-    this.#place(entry);
+    this.#entryByUpstream.set(entry.upstream, entry);
+    this.#updatePool(entry);
     entry.polling = this.#pollLoad(entry);
   }
 
-  #open(id: UpstreamId, listed: ListedInstance): Entry {
+  #createEntry(id: UpstreamId, listed: ListedInstance): Entry {
     const { clients } = this.#options;
     const upstream: Upstream = {
       id,
@@ -233,67 +237,68 @@
     };
   }
 
-  #forget(entry: Entry): void {
+  #removeEntry(entry: Entry): void {
     this.#entries.delete(entry.upstream.id);
     entry.stop.abort();
-    this.#place(entry);
-    this.#closeIdle(entry);
+    this.#updatePool(entry);
+    this.#closeIfIdle(entry);
   }
 
-  /** Closes the client of a gone upstream, once, when no stream uses it. */
-  #closeIdle({ upstream, polling }: Entry): void {
+  /** Closes the client of a removed upstream, once, when no request uses it. */
+  #closeIfIdle({ upstream, polling }: Entry): void {
     if (upstream.inFlightRequests > 0) return;
     const client: object | undefined = upstream.engine ?? upstream.plain;
-    const closing = polling.then(() => disposeIfDisposable(client));
+    const closing = polling.then(() => disposeIfPossible(client));
     this.#closing.add(closing);
     void closing.finally(() => this.#closing.delete(closing));
   }
 
-  /** Takes into account whatever has changed. Any source that says so makes an upstream leave. */
-  #place({ upstream, listed, stop }: Entry): void {
+  /** Updates an upstream's state and pool. It is leaving if the list or its last report says so. */
+  #updatePool({ upstream, listed, stop }: Entry): void {
     const isLeaving =
       stop.signal.aborted || listed.state === 'leaving' || upstream.report?.state === 'leaving';
     upstream.state = isLeaving ? 'leaving' : 'live';
-    this.#pool(upstream.service).place(upstream);
+    this.#getOrCreatePool(upstream.service).update(upstream);
   }
 
-  #pool(service: ServiceName): ServicePool {
-    const known = this.#pools.get(service);
-    if (known !== undefined) return known;
-    const made = new ServicePool();
-    this.#pools.set(service, made);
-    return made;
+  #getOrCreatePool(service: ServiceName): ServicePool {
+    const existing = this.#pools.get(service);
+    if (existing !== undefined) return existing;
+    const created = new ServicePool();
+    this.#pools.set(service, created);
+    return created;
   }
 
   /**
-   * An upstream that refuses work may be leaving while list and reports, which lag, do not say so
-   * yet. It gets no more until a report measured after the refusal says that it is live.
+   * An upstream that refuses a request may be leaving although the list and the reports, which lag, do
+   * not say so yet. It receives no more requests until a report measured after the refusal says that it
+   * is live.
    */
-  #takeFailure(entry: Entry, error: RouterError): void {
+  #handleFailure(entry: Entry, error: RouterError): void {
     const { upstream } = entry;
     if (error.kind === 'upstreamUnavailable') {
       upstream.isSuspect = true;
       entry.refusedAtMs = this.#options.clock.wallMs();
     }
-    this.#judge(this.#pool(upstream.service));
-    this.#place(entry);
+    this.#checkHealth(this.#getOrCreatePool(upstream.service));
+    this.#updatePool(entry);
   }
 
-  async #judgeHealth(): Promise<void> {
+  async #runHealthChecks(): Promise<void> {
     while (!this.#stop.signal.aborted) {
-      await this.#options.clock.sleep(judgeIntervalMs, this.#stop.signal);
-      for (const pool of this.#pools.values()) this.#judge(pool);
+      await this.#options.clock.sleep(healthCheckIntervalMs, this.#stop.signal);
+      for (const pool of this.#pools.values()) this.#checkHealth(pool);
     }
   }
 
-  #judge(pool: ServicePool): void {
-    for (const upstream of this.#detector.judge(pool.live, this.#options.clock.monotonicMs())) {
-      if (upstream.health.state === 'healthy') upstream.limit.restart();
-      pool.place(upstream);
+  #checkHealth(pool: ServicePool): void {
+    for (const upstream of this.#detector.evaluate(pool.live, this.#options.clock.monotonicMs())) {
+      if (upstream.health.state === 'healthy') upstream.limit.reset();
+      pool.update(upstream);
     }
   }
 
-  async #follow(): Promise<void> {
+  async #pollList(): Promise<void> {
     const { clock, listIntervalMs } = this.#options;
     while (!this.#stop.signal.aborted) {
       await clock.sleep(listIntervalMs, this.#stop.signal);
@@ -318,26 +323,26 @@
       what: 'a load report',
       signal: entry.stop.signal,
     });
-    this.#takeReport(entry, report);
+    this.#applyReport(entry, report);
   }
 
-  #takeReport(entry: Entry, report: LoadReport): void {
+  #applyReport(entry: Entry, report: LoadReport): void {
     const { upstream, sent } = entry;
     const previous = upstream.report;
     upstream.report = report;
     if (previous !== undefined && previous.startedAtMs !== report.startedAtMs) {
       upstream.incarnation += 1;
-      upstream.health.forget();
+      upstream.health.reset();
       entry.lastCacheSequence = 0;
     }
-    if (report.measuredAtMs !== previous?.measuredAtMs) this.#takeNews(entry, report);
+    if (report.measuredAtMs !== previous?.measuredAtMs) this.#applyNewReport(entry, report);
     upstream.sentSinceReport = sent.net;
-    this.#place(entry);
+    this.#updatePool(entry);
   }
 
-  #takeNews({ upstream, sent, refusedAtMs }: Entry, report: LoadReport): void {
-    const measuredAtMs = this.#measuredAtMs(report);
-    sent.rebase(measuredAtMs);
+  #applyNewReport({ upstream, sent, refusedAtMs }: Entry, report: LoadReport): void {
+    const measuredAtMs = this.#toLocalMeasuredAtMs(report);
+    sent.discardCounted(measuredAtMs);
     if (measuredAtMs > refusedAtMs) upstream.isSuspect = false;
     const received = {
       report,
@@ -345,22 +350,22 @@
       receivedAtMs: this.#options.clock.wallMs(),
       instances: Math.max(1, this.#options.usableInstances?.() ?? this.#liveInstances.length),
     };
-    upstream.limit.learnReport(received, upstream.inFlightRequests);
-    const ownAtReport = upstream.inFlightRequests - sent.net;
+    upstream.limit.applyReport(received, upstream.inFlightRequests);
+    const ownRequestsAtReport = upstream.inFlightRequests - sent.net;
     const requests = report.runningRequests + report.waitingRequests;
-    // The report will be used until the next one comes.
+    // The report is used until the next one arrives, so half an interval is its additional mean age.
     const ageMs = received.receivedAtMs - measuredAtMs + this.#options.loadIntervalMs / 2;
-    upstream.lagCorrection = this.#pool(upstream.service).lagCorrection(
+    upstream.lagCorrection = this.#getOrCreatePool(upstream.service).computeLagCorrection(
       upstream,
-      Math.max(0, requests - ownAtReport),
+      Math.max(0, requests - ownRequestsAtReport),
       Math.max(0, ageMs),
     );
   }
 
-  /** When a report was measured, by this machine's wall clock as far as the two can be compared. */
-  #measuredAtMs({ measuredAtMs }: LoadReport): number {
+  /** Time of a report's measurement by this machine's wall clock; now if the clocks are not comparable. */
+  #toLocalMeasuredAtMs({ measuredAtMs }: LoadReport): number {
     const nowMs = this.#options.clock.wallMs();
-    return Math.abs(nowMs - measuredAtMs) > maxClockDifferenceMs ? nowMs : measuredAtMs;
+    return Math.abs(nowMs - measuredAtMs) > maxClockSkewMs ? nowMs : measuredAtMs;
   }
 
   async #readCacheEvents(entry: Entry): Promise<void> {
@@ -374,7 +379,7 @@
       () => engine.readCacheEvents(entry.lastCacheSequence),
       { kind: 'upstreamFailed', what: 'cache events', signal: entry.stop.signal },
     );
-    // Events that were read across a restart speak of a cache that is gone.
+    // Discards events that were read across a restart, since the restart emptied the cache.
     if (entry.upstream.incarnation !== incarnation) return;
     for (const event of events) {
       entry.lastCacheSequence = Math.max(entry.lastCacheSequence, event.sequence);
@@ -383,68 +388,68 @@
   }
 }
 
-async function disposeIfDisposable(client: object | undefined): Promise<void> {
+async function disposeIfPossible(client: object | undefined): Promise<void> {
   if (client !== undefined && Symbol.asyncDispose in client) {
     await (client as AsyncDisposable)[Symbol.asyncDispose]();
   }
 }
 
-/** What a {@link RegistryUse} needs of its registry. */
-interface UseContext {
+/** Dependencies of a {@link RegistryRequest}. */
+interface RegistryRequestContext {
   readonly clock: Clock;
   readonly pool: ServicePool;
   readonly ended: () => void;
   readonly failed: (error: RouterError) => void;
 }
 
-/** Failures that are the upstream's, not the caller's. */
-const upstreamFaults: ReadonlySet<ErrorKind> = new Set([
+/** Errors attributed to the upstream rather than the caller. */
+const upstreamFailureKinds: ReadonlySet<ErrorKind> = new Set([
   'upstreamUnavailable',
   'upstreamFailed',
   'outcomeUnknown',
 ]);
 
-/** One request under way, which keeps its upstream's figures. */
-class RegistryUse extends UpstreamUse {
+/** An in-flight request that updates the statistics of its upstream. */
+class RegistryRequest extends UpstreamUse {
   readonly #entry: Entry;
   readonly #priority: number;
-  readonly #context: UseContext;
-  readonly #request: SilentRequest;
+  readonly #context: RegistryRequestContext;
+  readonly #request: UnansweredRequest;
   #hasProgressed = false;
   #isEnded = false;
 
-  constructor(entry: Entry, priority: number, context: UseContext) {
+  constructor(entry: Entry, priority: number, context: RegistryRequestContext) {
     super();
     this.#entry = entry;
     this.#priority = priority;
     this.#context = context;
     this.#request = {
       startedMs: context.clock.monotonicMs(),
-      usualMs: context.pool.usualFirstTokenMs(priority),
+      averageFirstTokenMs: context.pool.averageFirstTokenMs(priority),
     };
     const { upstream } = entry;
     upstream.inFlightRequests += 1;
-    upstream.limit.learnInFlight(upstream.inFlightRequests);
+    upstream.limit.recordInFlight(upstream.inFlightRequests);
     upstream.health.begin(this.#request);
-    this.#changed(1);
+    this.#recordChange(1);
   }
 
   override progress(): void {
     const { health } = this.#entry.upstream;
     const nowMs = this.#context.clock.monotonicMs();
-    health.noteProgress(nowMs);
+    health.recordProgress(nowMs);
     if (this.#hasProgressed) return;
     this.#hasProgressed = true;
-    const tookMs = nowMs - this.#request.startedMs;
-    const usualMs = this.#request.usualMs ?? tookMs;
-    health.noteFirstToken(this.#request, usualMs > 0 ? tookMs / usualMs : 1);
-    this.#context.pool.learnFirstToken(this.#priority, tookMs);
-    if (health.state === 'probing') this.#context.pool.place(this.#entry.upstream);
+    const elapsedMs = nowMs - this.#request.startedMs;
+    const averageMs = this.#request.averageFirstTokenMs ?? elapsedMs;
+    health.recordFirstToken(this.#request, averageMs > 0 ? elapsedMs / averageMs : 1);
+    this.#context.pool.recordFirstToken(this.#priority, elapsedMs);
+    if (health.state === 'probing') this.#context.pool.update(this.#entry.upstream);
   }
 
   override failed(error: RouterError): void {
-    if (!upstreamFaults.has(error.kind)) return;
-    this.#entry.upstream.health.noteFailure(this.#request);
+    if (!upstreamFailureKinds.has(error.kind)) return;
+    this.#entry.upstream.health.recordFailure(this.#request);
     this.#context.failed(error);
   }
 
@@ -454,15 +459,17 @@
     const { upstream } = this.#entry;
     upstream.inFlightRequests -= 1;
     upstream.health.end(this.#request);
-    this.#context.pool.learnHold(this.#context.clock.monotonicMs() - this.#request.startedMs);
-    this.#changed(-1);
+    this.#context.pool.recordRequestDuration(
+      this.#context.clock.monotonicMs() - this.#request.startedMs,
+    );
+    this.#recordChange(-1);
     this.#context.ended();
   }
 
-  #changed(by: 1 | -1): void {
+  #recordChange(by: 1 | -1): void {
     const { upstream, sent } = this.#entry;
     sent.record(by, this.#context.clock.wallMs());
     upstream.sentSinceReport = sent.net;
-    this.#context.pool.place(upstream);
+    this.#context.pool.update(upstream);
   }
 }
--- a/packages/routing/src/UpstreamRegistry/test.ts
+++ b/packages/routing/src/UpstreamRegistry/test.ts
@@ -105,7 +105,7 @@
   return { clock, list, clients, registry, first, engine };
 }
 
-test('what was sent since a report was measured is added to it, what ended is taken off', async (t) => {
+test('requests started since a report was measured are added to it, ended ones subtracted', async (t) => {
   const { clock, registry, first, engine } = await startRegistry(['e1']);
   const earlier = registry.begin(first);
   await clock.advance(1_000);
@@ -113,7 +113,7 @@
   await clock.advance(200);
   registry.begin(first);
   registry.begin(first);
-  // The report arrives 300 ms late and cannot have counted the last two.
+  // The report arrives 300 ms late and does not include the last two requests.
   await clock.advance(300);
   t.is(first.report?.runningRequests, 1);
   t.is(first.sentSinceReport, 2);
@@ -121,9 +121,9 @@
   t.is(first.sentSinceReport, 1);
 });
 
-// An engine is replaced and comes back under the same id at another address. Callers of streams on
-// the old one see them end in peace; new work goes to the new one; the old client is closed.
-test('the same id at another address is another upstream, and the old client is closed', async (t) => {
+// Guards against mixing up an engine and its replacement with the same id at another address: streams of
+// the old engine continue, new requests go to the new one, and the old client is closed at the end.
+test('the same id at another address is a new upstream, and the old client is closed', async (t) => {
   const { clock, list, clients, registry, first, engine } = await startRegistry(['e1']);
   const stream = registry.begin(first);
   list.listed = [engineAt('e1', 'http://127.0.0.2/e1')];
@@ -138,7 +138,7 @@
   t.false(clients.opened[1]?.isDisposed);
 });
 
-test('an upstream that is no longer listed takes no new work and is closed', async (t) => {
+test('an upstream that is no longer listed receives no new requests and is closed', async (t) => {
   const { clock, list, registry, engine } = await startRegistry(['e1']);
   list.listed = [];
   await clock.advance(2_000);
@@ -147,9 +147,9 @@
   t.true(engine.isDisposed);
 });
 
-// A load report hangs for good because something on the way lost the connection. Without a bound
-// its upstream's load would stay as it was for ever, while everything else looks well.
-test('a load report that never comes does not stop the reading of later ones', async (t) => {
+// Guards against a load report that hangs because of a lost connection: without a timeout, the upstream's
+// load would never be updated again, and nothing else would reveal the fault.
+test('a load report that never arrives does not stop later ones', async (t) => {
   const { clock, first, engine } = await startRegistry(['e1']);
   engine.isHanging = true;
   await clock.advance(1_000);
@@ -159,7 +159,7 @@
   t.is(first.report?.runningRequests, 5);
 });
 
-test('cache events of a former life are not taken for this one', async (t) => {
+test('after a restart, cache events are read from the first sequence number again', async (t) => {
   const seen: number[] = [];
   const { clock, first, engine } = await startRegistry(['e1'], {
     onCacheEvent: (_, { sequence }) => seen.push(sequence),
@@ -173,89 +173,90 @@
   t.deepEqual(seen, [5, 1]);
 });
 
-/** Sends one request and tells how it fared. */
+/** Simulates one request with the given outcome. */
 async function send(
   { clock, registry }: { clock: ManualClock; registry: UpstreamRegistry },
   upstream: Upstream,
   outcome: 'answered' | 'upstreamFailed' | 'upstreamUnavailable',
-  tookMs = 100,
+  elapsedMs = 100,
 ): Promise<void> {
   using use = registry.begin(upstream, 1);
-  await clock.advance(tookMs);
+  await clock.advance(elapsedMs);
   if (outcome === 'answered') use.progress();
-  else use.failed(new RouterError(outcome, 'as the test wants'));
+  else use.failed(new RouterError(outcome, 'simulated failure'));
 }
 
-function idsOf(registry: UpstreamRegistry): string[] {
+function candidateIds(registry: UpstreamRegistry): string[] {
   return registry
     .candidates(service)
     .map(({ id }) => id as string)
     .sort();
 }
 
-function named(registry: UpstreamRegistry, id: string): Upstream {
+function findUpstream(registry: UpstreamRegistry, id: string): Upstream {
   const found = registry.all().find((upstream) => upstream.id === id);
-  if (found === undefined) throw new Error(`there is no ${id}`);
+  if (found === undefined) throw new Error(`upstream ${id} not found`);
   return found;
 }
 
-// An engine is told to leave. List and load reports lag and still call it live, but it refuses. A
-// caller must not be sent there over and over until the list has caught up.
-test('an upstream that refuses gets no more work until it reports that it is live', async (t) => {
-  const world = await startRegistry(['e1', 'e2']);
-  const { clock, registry, engine } = world;
+// Guards against repeatedly sending requests to an engine that is leaving: it refuses requests, while the
+// list and the load reports lag and still show it as live.
+test('an upstream that refuses receives no more requests until it reports that it is live', async (t) => {
+  const setup = await startRegistry(['e1', 'e2']);
+  const { clock, registry, engine } = setup;
   engine.report = { ...engine.report, measuredAtMs: clock.wallMs() };
   await clock.advance(600);
-  await send(world, named(registry, 'e1'), 'upstreamUnavailable');
-  t.deepEqual(idsOf(registry), ['e2']);
+  await send(setup, findUpstream(registry, 'e1'), 'upstreamUnavailable');
+  t.deepEqual(candidateIds(registry), ['e2']);
   await clock.advance(5_000);
-  t.deepEqual(idsOf(registry), ['e2']);
+  t.deepEqual(candidateIds(registry), ['e2']);
   engine.report = { ...engine.report, measuredAtMs: clock.wallMs() };
   await clock.advance(600);
-  t.deepEqual(idsOf(registry), ['e1', 'e2']);
+  t.deepEqual(candidateIds(registry), ['e1', 'e2']);
 });
 
 for (const source of ['list', 'report'] as const) {
-  test(`an upstream that leaves by its ${source} gets no work within 3 s, and is used again when it is back`, async (t) => {
+  test(`an upstream leaving by its ${source} stops receiving requests within 3 s and resumes when live`, async (t) => {
     const { clock, list, registry, engine } = await startRegistry(['e1', 'e2']);
-    const tell = (state: 'live' | 'leaving') => {
+    const setState = (state: 'live' | 'leaving') => {
       if (source === 'list') list.listed = [{ ...engineAt('e1'), state }, engineAt('e2')];
       else engine.report = { ...engine.report, state, measuredAtMs: clock.wallMs() };
     };
-    tell('leaving');
+    setState('leaving');
     await clock.advance(2_900);
-    t.deepEqual(idsOf(registry), ['e2']);
-    tell('live');
+    t.deepEqual(candidateIds(registry), ['e2']);
+    setState('live');
     await clock.advance(2_900);
-    t.deepEqual(idsOf(registry), ['e1', 'e2']);
+    t.deepEqual(candidateIds(registry), ['e1', 'e2']);
   });
 }
 
-// An engine answers each request with an error within a millisecond. It has nothing to do, so its
-// reports show no load, and a choice by load sends it all: every caller would see an error.
-test('an upstream whose errors come fast is ejected, however idle it looks', async (t) => {
-  const world = await startRegistry(['e1', 'e2', 'e3']);
-  const bad = named(world.registry, 'e1');
-  for (let count = 0; count < 3; count += 1) await send(world, bad, 'upstreamFailed', 1);
-  t.deepEqual(idsOf(world.registry), ['e2', 'e3']);
-  t.is(bad.health.reason, 'failing');
+// Guards against an engine that answers each request with an error within a millisecond: its reports show
+// no load, so a choice by load would send it all requests and every caller would get an error.
+test('an upstream that fails fast is ejected although it reports no load', async (t) => {
+  const setup = await startRegistry(['e1', 'e2', 'e3']);
+  const failing = findUpstream(setup.registry, 'e1');
+  for (let count = 0; count < 3; count += 1) await send(setup, failing, 'upstreamFailed', 1);
+  t.deepEqual(candidateIds(setup.registry), ['e2', 'e3']);
+  t.is(failing.health.reason, 'failing');
 });
 
-// An engine accepts requests and never answers, while its load reports go on and show it idle.
-// Callers would wait for their whole deadline; other requests' tokens prove nothing, for none come.
-test('an upstream that accepts and never answers is ejected', async (t) => {
-  const world = await startRegistry(['e1', 'e2', 'e3']);
-  const { clock, registry } = world;
-  for (let count = 0; count < 6; count += 1) await send(world, named(registry, 'e2'), 'answered');
-  const mute = named(registry, 'e1');
-  registry.begin(mute, 1);
-  registry.begin(mute, 1);
+// Guards against an engine that accepts requests without ever answering while its load reports show no
+// load: callers would wait until their deadline. No other request there makes progress either.
+test('an upstream that accepts requests and never answers is ejected', async (t) => {
+  const setup = await startRegistry(['e1', 'e2', 'e3']);
+  const { clock, registry } = setup;
+  for (let count = 0; count < 6; count += 1)
+    await send(setup, findUpstream(registry, 'e2'), 'answered');
+  const unresponsive = findUpstream(registry, 'e1');
+  registry.begin(unresponsive, 1);
+  registry.begin(unresponsive, 1);
   await clock.advance(1_300);
-  t.deepEqual(idsOf(registry), ['e2', 'e3']);
-  t.is(mute.health.reason, 'silent');
+  t.deepEqual(candidateIds(registry), ['e2', 'e3']);
+  t.is(unresponsive.health.reason, 'silent');
 });
 
-test('an upstream with a sign of life is not silent, however long one request waits there', async (t) => {
+test('an upstream where any request makes progress is not silent, however long others wait', async (t) => {
   const { clock, registry, first } = await startRegistry(['e1', 'e2', 'e3']);
   registry.begin(first, 1);
   registry.begin(first, 1);
@@ -268,36 +269,37 @@
 });
 
 test('an upstream whose first tokens take much longer than its peers is ejected', async (t) => {
-  const world = await startRegistry(['e1', 'e2', 'e3', 'e4']);
+  const setup = await startRegistry(['e1', 'e2', 'e3', 'e4']);
   for (let count = 0; count < 8; count += 1) {
-    for (const id of ['e2', 'e3', 'e4']) await send(world, named(world.registry, id), 'answered');
-    await send(world, named(world.registry, 'e1'), 'answered', 800);
+    for (const id of ['e2', 'e3', 'e4'])
+      await send(setup, findUpstream(setup.registry, id), 'answered');
+    await send(setup, findUpstream(setup.registry, 'e1'), 'answered', 800);
   }
-  await world.clock.advance(100);
-  t.is(named(world.registry, 'e1').health.reason, 'slow');
+  await setup.clock.advance(100);
+  t.is(findUpstream(setup.registry, 'e1').health.reason, 'slow');
 });
 
-// Something that all upstreams share breaks, for example the network of this instance. Ejecting
-// them all would refuse every caller and could never learn that it is over.
+// Guards against ejecting all upstreams when something they share fails, for example this instance's
+// network: every caller would be refused, and no request would detect the recovery.
 test('when all upstreams fail, half of them stay in use', async (t) => {
   const ids = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6'];
-  const world = await startRegistry(ids);
+  const setup = await startRegistry(ids);
   for (const id of ids) {
-    const upstream = named(world.registry, id);
-    for (let count = 0; count < 5; count += 1) await send(world, upstream, 'upstreamFailed', 1);
+    const upstream = findUpstream(setup.registry, id);
+    for (let count = 0; count < 5; count += 1) await send(setup, upstream, 'upstreamFailed', 1);
   }
-  t.is(idsOf(world.registry).length, 3);
+  t.is(candidateIds(setup.registry).length, 3);
 });
 
-// Three engines restart together. When they are back, the first requests tell whether they are
-// well; a rush of all traffic on cold engines would bring them down again.
-test('ejected upstreams are tried one at a time, one request each, and come back small', async (t) => {
+// Guards against overloading engines right after a restart: three engines restart together, and sending
+// all traffic to cold engines would make them fail again.
+test('ejected upstreams are probed one at a time by one request each and recover with a small limit', async (t) => {
   const ids = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6'];
-  const world = await startRegistry(ids);
-  const { clock, registry } = world;
+  const setup = await startRegistry(ids);
+  const { clock, registry } = setup;
   for (const id of ['e1', 'e2', 'e3']) {
     for (let count = 0; count < 3; count += 1) {
-      await send(world, named(registry, id), 'upstreamFailed', 1);
+      await send(setup, findUpstream(registry, id), 'upstreamFailed', 1);
     }
   }
   await clock.advance(3_200);
@@ -310,33 +312,33 @@
   await clock.advance(50);
   probe.progress();
   t.true(registry.candidates(service).includes(probed));
-  for (let count = 0; count < 2; count += 1) await send(world, probed, 'answered');
+  for (let count = 0; count < 2; count += 1) await send(setup, probed, 'answered');
   await clock.advance(100);
   t.is(probed.health.state, 'healthy');
-  t.is(probed.limit.places, 5);
+  t.is(probed.limit.slots, 5);
 });
 
-test('an upstream that fails when it is tried again stays out twice as long', async (t) => {
-  const world = await startRegistry(['e1', 'e2', 'e3']);
-  const { clock, registry } = world;
-  const bad = named(registry, 'e1');
-  for (let count = 0; count < 3; count += 1) await send(world, bad, 'upstreamFailed', 1);
+test('an upstream that fails while probing is ejected for twice as long', async (t) => {
+  const setup = await startRegistry(['e1', 'e2', 'e3']);
+  const { clock, registry } = setup;
+  const failing = findUpstream(registry, 'e1');
+  for (let count = 0; count < 3; count += 1) await send(setup, failing, 'upstreamFailed', 1);
   await clock.advance(2_200);
-  t.is(bad.health.state, 'probing');
-  await send(world, bad, 'upstreamFailed', 1);
+  t.is(failing.health.state, 'probing');
+  await send(setup, failing, 'upstreamFailed', 1);
   const failedMs = clock.monotonicMs();
-  t.is(bad.health.state, 'ejected');
-  t.is(bad.health.ejectedUntilMs, failedMs + 4_000);
+  t.is(failing.health.state, 'ejected');
+  t.is(failing.health.ejectedUntilMs, failedMs + 4_000);
 });
 
-test('what goes on at an ejected upstream takes no place from the others', async (t) => {
-  const world = await startRegistry(['e1', 'e2', 'e3']);
-  const { clock, registry } = world;
+test('in-flight requests at an ejected upstream occupy no slots of the others', async (t) => {
+  const setup = await startRegistry(['e1', 'e2', 'e3']);
+  const { clock, registry } = setup;
   await clock.advance(600);
-  const beforePlaces = registry.places(service);
-  const bad = named(registry, 'e1');
-  registry.begin(bad, 1);
-  registry.begin(bad, 1);
-  for (let count = 0; count < 3; count += 1) await send(world, bad, 'upstreamFailed', 1);
-  t.is(registry.places(service), beforePlaces - bad.limit.places + 2);
+  const slotsBefore = registry.places(service);
+  const failing = findUpstream(registry, 'e1');
+  registry.begin(failing, 1);
+  registry.begin(failing, 1);
+  for (let count = 0; count < 3; count += 1) await send(setup, failing, 'upstreamFailed', 1);
+  t.is(registry.places(service), slotsBefore - failing.limit.slots + 2);
 });
--- a/packages/routing/src/UpstreamUse/index.ts
+++ b/packages/routing/src/UpstreamUse/index.ts
@@ -1,15 +1,15 @@
 import type { RouterError } from '@acaciacrank/base';
 
-/** One request under way at an upstream; dispose of it when the request has ended. */
+/** An in-flight request at an upstream; must be disposed of when the request has ended. */
 export abstract class UpstreamUse implements Disposable {
-  /** Notes a sign of life: a token, or a whole answer of a plain service. */
+  /** Records progress: a token of an engine, or the complete response of another service. */
   abstract progress(): void;
 
   /**
-   * Notes that the request failed there. What is the caller's doing does not count against the
-   * upstream.
+   * Records that the request failed at the upstream. Errors caused by the caller do not count against
+   * the upstream.
    *
-   * @param error - as thrown by the upstream's client
+   * @param error - the error thrown by the upstream's client
    */
   abstract failed(error: RouterError): void;
 
--- a/packages/routing/src/_lib/CandidateSet/index.ts
+++ b/packages/routing/src/_lib/CandidateSet/index.ts
@@ -1,14 +1,14 @@
 /**
- * A set of upstreams with constant-time changes whose members can be drawn by index.
+ * A set of upstreams with insertion and removal in constant time and access by index.
  */
 import type { Upstream } from '../../types.js';
 
-/** Upstreams in no particular order. */
+/** An unordered set of upstreams. */
 export class CandidateSet {
   readonly #items: Upstream[] = [];
   readonly #indexes = new Map<Upstream, number>();
 
-  /** The members; changes with the set, so use it at once. */
+  /** The members as a live view; do not retain it. */
   get items(): readonly Upstream[] {
     return this.#items;
   }
--- a/packages/routing/src/_lib/DecayingRate/index.ts
+++ b/packages/routing/src/_lib/DecayingRate/index.ts
@@ -1,36 +1,36 @@
 /**
- * How often something happens of late.
+ * Measures the recent rate of an event.
  */
 
-/** Events in a millisecond, as an average whose weight fades with time. */
+/** Rate of events per millisecond as an exponentially decaying average. */
 export class DecayingRate {
   readonly #windowMs: number;
-  #count = 0;
+  #decayedCount = 0;
   #updatedMs: number;
 
   /**
-   * @param windowMs - over how long events are averaged
-   * @param nowMs - when counting begins
+   * @param windowMs - time constant of the decay, in milliseconds
+   * @param nowMs - start of the measurement
    */
   constructor(windowMs: number, nowMs: number) {
     this.#windowMs = windowMs;
     this.#updatedMs = nowMs;
   }
 
-  /** Notes one event. */
-  add(nowMs: number): void {
-    this.#fade(nowMs);
-    this.#count += 1;
+  /** Records one event. */
+  record(nowMs: number): void {
+    this.#decay(nowMs);
+    this.#decayedCount += 1;
   }
 
-  /** Events in a millisecond. */
+  /** Returns the rate in events per millisecond. */
   perMs(nowMs: number): number {
-    this.#fade(nowMs);
-    return this.#count / this.#windowMs;
+    this.#decay(nowMs);
+    return this.#decayedCount / this.#windowMs;
   }
 
-  #fade(nowMs: number): void {
-    this.#count *= Math.exp((this.#updatedMs - nowMs) / this.#windowMs);
+  #decay(nowMs: number): void {
+    this.#decayedCount *= Math.exp((this.#updatedMs - nowMs) / this.#windowMs);
     this.#updatedMs = nowMs;
   }
 }
--- a/packages/routing/src/_lib/SentLog/index.ts
+++ b/packages/routing/src/_lib/SentLog/index.ts
@@ -1,5 +1,6 @@
 /**
- * What this instance began and ended at an upstream since a moment, to correct late load reports.
+ * Change of this instance's in-flight requests at an upstream since the last load report was measured,
+ * used to correct late reports.
  */
 
 interface Change {
@@ -7,39 +8,40 @@
   readonly by: 1 | -1;
 }
 
-/** Changes kept at most; older ones are folded away, as if the report had counted them. */
-const maxChanges = 2_048;
+/** Maximum number of retained changes; older ones are treated as if the report had counted them. */
+const maxRetainedChanges = 2_048;
 
-/** Begun minus ended requests since the last report was measured. */
+/** Counts started minus ended requests since the last report was measured. */
 export class SentLog {
   #changes: Change[] = [];
-  #first = 0;
+  #firstIndex = 0;
   #net = 0;
 
-  /** Begun minus ended requests since the report's moment. */
+  /** Started minus ended requests since the last report was measured. */
   get net(): number {
     return this.#net;
   }
 
-  /** Notes that a request began (1) or ended (-1). */
+  /** Records that a request started (1) or ended (-1). */
   record(by: 1 | -1, atWallMs: number): void {
     this.#changes.push({ atWallMs, by });
     this.#net += by;
-    if (this.#changes.length - this.#first > maxChanges) this.#dropFirst();
+    if (this.#changes.length - this.#firstIndex > maxRetainedChanges) this.#dropFirst();
   }
 
-  /** Forgets what a report measured at this moment has already counted. */
-  rebase(measuredAtMs: number): void {
-    while ((this.#changes[this.#first]?.atWallMs ?? Infinity) <= measuredAtMs) this.#dropFirst();
-    this.#changes = this.#changes.slice(this.#first);
-    this.#first = 0;
+  /** Discards the changes that a report measured at this time has already counted. */
+  discardCounted(measuredAtMs: number): void {
+    while ((this.#changes[this.#firstIndex]?.atWallMs ?? Infinity) <= measuredAtMs)
+      this.#dropFirst();
+    this.#changes = this.#changes.slice(this.#firstIndex);
+    this.#firstIndex = 0;
   }
 
   #dropFirst(): void {
-    this.#net -= this.#changes[this.#first]?.by ?? 0;
-    this.#first += 1;
-    if (this.#first < maxChanges) return;
-    this.#changes = this.#changes.slice(this.#first);
-    this.#first = 0;
+    this.#net -= this.#changes[this.#firstIndex]?.by ?? 0;
+    this.#firstIndex += 1;
+    if (this.#firstIndex < maxRetainedChanges) return;
+    this.#changes = this.#changes.slice(this.#firstIndex);
+    this.#firstIndex = 0;
   }
 }
--- a/packages/routing/src/_lib/ServicePool/index.ts
+++ b/packages/routing/src/_lib/ServicePool/index.ts
@@ -1,32 +1,35 @@
 /**
- * The upstreams of one service: which may be given work, and how many places they have.
+ * The upstreams of one service: which of them may receive requests, and the sum of their slots.
  */
 import type { Upstream } from '../../types.js';
 import { CandidateSet } from '../CandidateSet/index.js';
 
-/** Weight of the newest first token in the average. */
-const newestWeight = 0.05;
+/** Weight of the latest sample in the moving averages. */
+const smoothingFactor = 0.05;
 
-/** So many times faster than requests end does an upstream's difference from the mean fade. */
-const differenceDecay = 3;
+/**
+ * Decay rate of an upstream's deviation from the mean load, as a multiple of the rate at which requests
+ * end.
+ */
+const differenceDecayFactor = 3;
 
-/** How long a request is thought to take before any has ended, in milliseconds. */
-const firstHoldMs = 1_000;
+/** Assumed duration of a request until one has ended, in milliseconds. */
+const initialRequestMs = 1_000;
 
-/** Keeps its sums with each change, so that a decision need not look at all upstreams. */
+/** Updates its totals incrementally, so that a decision does not iterate over all upstreams. */
 export class ServicePool {
-  readonly #open = new CandidateSet();
+  readonly #available = new CandidateSet();
   readonly #live = new Set<Upstream>();
-  readonly #places = new Map<Upstream, number>();
+  readonly #slotsByUpstream = new Map<Upstream, number>();
   readonly #firstTokenMs = new Map<number, number>();
-  readonly #others = new Map<Upstream, number>();
-  #allPlaces = 0;
-  #allOthers = 0;
-  #holdMs = firstHoldMs;
-
-  /** How many requests this instance may have under way at all upstreams together. */
-  get places(): number {
-    return Math.floor(this.#allPlaces + 1e-9);
+  readonly #otherInstancesRequests = new Map<Upstream, number>();
+  #totalSlots = 0;
+  #totalOtherInstancesRequests = 0;
+  #meanRequestMs = initialRequestMs;
+
+  /** Limit for this instance's in-flight requests at all upstreams combined. */
+  get slots(): number {
+    return Math.floor(this.#totalSlots + 1e-9);
   }
 
   /** The live upstreams. */
@@ -35,65 +38,68 @@
   }
 
   /**
-   * The upstreams that may be given work. Where none has room, those that are usable: a limit may
-   * have fallen after a request was admitted, and that request must not fail for it. Where none is
-   * usable, those that refused work but do not say that they are leaving: the fault may be here.
+   * Returns the upstreams that may receive requests. If none has room, returns the usable ones: a limit
+   * may have been lowered after a request was admitted, which must not fail that request. If none is
+   * usable, returns those that have refused requests without reporting that they are leaving: the fault
+   * may lie with this instance.
    */
   candidates(): readonly Upstream[] {
-    if (this.#open.items.length > 0) return this.#open.items;
+    if (this.#available.items.length > 0) return this.#available.items;
     const usable = this.live.filter((upstream) => isUsable(upstream));
     if (usable.length > 0) return usable;
     return this.live.filter(({ health }) => health.state === 'healthy');
   }
 
-  /** Takes an upstream's present state into account. */
-  place(upstream: Upstream): void {
+  /** Updates the pool after a change of an upstream's state. */
+  update(upstream: Upstream): void {
     if (upstream.state === 'live') this.#live.add(upstream);
-    else this.#forget(upstream);
-    const places = placesOf(upstream);
-    this.#allPlaces += places - (this.#places.get(upstream) ?? 0);
-    if (places > 0) this.#places.set(upstream, places);
-    else this.#places.delete(upstream);
-    if (hasRoom(upstream)) this.#open.add(upstream);
-    else this.#open.remove(upstream);
+    else this.#remove(upstream);
+    const slots = slotsOf(upstream);
+    this.#totalSlots += slots - (this.#slotsByUpstream.get(upstream) ?? 0);
+    if (slots > 0) this.#slotsByUpstream.set(upstream, slots);
+    else this.#slotsByUpstream.delete(upstream);
+    if (hasRoom(upstream)) this.#available.add(upstream);
+    else this.#available.remove(upstream);
   }
 
-  /** Notes how long a request was under way. */
-  learnHold(heldMs: number): void {
-    this.#holdMs += newestWeight * (heldMs - this.#holdMs);
+  /** Records how long a request was in flight. */
+  recordRequestDuration(durationMs: number): void {
+    this.#meanRequestMs += smoothingFactor * (durationMs - this.#meanRequestMs);
   }
 
   /**
-   * What to add to a report because it is late. Requests that other instances had there when it was
-   * measured end and are followed by ones elsewhere, and all instances act against the difference
-   * that they see, so that it is gone in a fraction of the time that a request takes. Instances that
-   * took late reports as they stand would all send to the upstream that was idle then.
+   * Computes the number of requests to add to a late report. The requests that other instances had there
+   * when it was measured end and are followed by requests at other upstreams, and all instances even out
+   * the difference that they see, so that it disappears in a fraction of a request's duration. Without
+   * the correction, all instances would send to the upstream that was idle at that time.
    *
-   * @param othersRequests - reported requests that are not this instance's
-   * @param ageMs - how old the report is while it is used
+   * @param otherInstancesRequests - reported requests of other instances
+   * @param ageMs - expected age of the report while it is in use
    */
-  lagCorrection(upstream: Upstream, othersRequests: number, ageMs: number): number {
-    this.#allOthers += othersRequests - (this.#others.get(upstream) ?? 0);
-    this.#others.set(upstream, othersRequests);
-    const mean = this.#allOthers / this.#others.size;
-    const lostPart = 1 - Math.exp((-differenceDecay * ageMs) / Math.max(1, this.#holdMs));
-    return lostPart * (mean - othersRequests);
+  computeLagCorrection(upstream: Upstream, otherInstancesRequests: number, ageMs: number): number {
+    this.#totalOtherInstancesRequests +=
+      otherInstancesRequests - (this.#otherInstancesRequests.get(upstream) ?? 0);
+    this.#otherInstancesRequests.set(upstream, otherInstancesRequests);
+    const mean = this.#totalOtherInstancesRequests / this.#otherInstancesRequests.size;
+    const decayedFraction =
+      1 - Math.exp((-differenceDecayFactor * ageMs) / Math.max(1, this.#meanRequestMs));
+    return decayedFraction * (mean - otherInstancesRequests);
   }
 
-  /** How long a first token usually takes for a priority, in milliseconds. */
-  usualFirstTokenMs(priority: number): number | undefined {
+  /** Average time to the first token for a priority, in milliseconds; undefined without samples. */
+  averageFirstTokenMs(priority: number): number | undefined {
     return this.#firstTokenMs.get(priority);
   }
 
-  #forget(upstream: Upstream): void {
+  #remove(upstream: Upstream): void {
     this.#live.delete(upstream);
-    this.#allOthers -= this.#others.get(upstream) ?? 0;
-    this.#others.delete(upstream);
+    this.#totalOtherInstancesRequests -= this.#otherInstancesRequests.get(upstream) ?? 0;
+    this.#otherInstancesRequests.delete(upstream);
   }
 
-  learnFirstToken(priority: number, tookMs: number): void {
-    const known = this.#firstTokenMs.get(priority) ?? tookMs;
-    this.#firstTokenMs.set(priority, known + newestWeight * (tookMs - known));
+  recordFirstToken(priority: number, elapsedMs: number): void {
+    const averageMs = this.#firstTokenMs.get(priority) ?? elapsedMs;
+    this.#firstTokenMs.set(priority, averageMs + smoothingFactor * (elapsedMs - averageMs));
   }
 }
 
@@ -102,23 +108,23 @@
 }
 
 /**
- * Requests that are under way count as places wherever they are: one that goes on at an ejected or
- * leaving upstream takes no place from the others.
+ * In-flight requests count as slots at every upstream: a request that continues at an ejected or leaving
+ * upstream occupies no slot of the others.
  */
-function placesOf(upstream: Upstream): number {
+function slotsOf(upstream: Upstream): number {
   const { limit, inFlightRequests } = upstream;
-  if (isUsable(upstream)) return limit.countedPlaces(inFlightRequests);
-  return inFlightRequests + (mayProbe(upstream) ? 1 : 0);
+  if (isUsable(upstream)) return limit.countedSlots(inFlightRequests);
+  return inFlightRequests + (canProbe(upstream) ? 1 : 0);
 }
 
 function hasRoom(upstream: Upstream): boolean {
   const { limit, inFlightRequests } = upstream;
   if (isUsable(upstream)) return limit.hasRoom(inFlightRequests);
-  return mayProbe(upstream);
+  return canProbe(upstream);
 }
 
-/** An upstream that is tried again gets one request at a time until its first token. */
-function mayProbe({ state, isSuspect, health }: Upstream): boolean {
+/** A probing upstream receives one request at a time until that request has its first token. */
+function canProbe({ state, isSuspect, health }: Upstream): boolean {
   if (state !== 'live' || isSuspect || health.state !== 'probing') return false;
-  return health.silentRequests.size === 0;
+  return health.unansweredRequests.size === 0;
 }
--- a/packages/routing/src/_lib/fitExpectile/index.ts
+++ b/packages/routing/src/_lib/fitExpectile/index.ts
@@ -1,39 +1,39 @@
-/** One observation: what was measured, and what it is explained by. */
+/** One observation: a measured value and the factors that explain it. */
 export interface Sample {
   readonly value: number;
-  /** One figure for each coefficient. */
+  /** One number for each coefficient. */
   readonly factors: readonly number[];
 }
 
-/** What a fit goes by. */
-export interface FitOptions {
+/** Options of {@link fitExpectile}. */
+export interface FitExpectileOptions {
   /**
-   * The weight of samples above the fit, from 0 to 1; those below have the rest. Under a half, the fit
-   * follows the lower samples, so that delays of other causes count little.
+   * Weight of samples above the fit, from 0 to 1; samples below it have the complement. Below a half,
+   * the fit follows the lower samples, so that delays with other causes have little influence.
    */
   readonly aboveWeight: number;
-  /** The coefficients before anything was seen. */
+  /** Coefficients to assume without samples. */
   readonly prior: readonly number[];
-  /** How many samples the prior counts for, for each coefficient at a factor of 1. */
+  /** Number of samples with a factor of 1 that the prior is equivalent to, for each coefficient. */
   readonly priorWeight: number;
 }
 
-/** Passes over the samples: their weights change little after a few. */
-const passes = 8;
+/** Number of reweighting iterations; the weights of the samples change little after a few. */
+const iterationCount = 8;
 
 /**
- * Fits coefficients to samples by asymmetric least squares.
+ * Fits coefficients to samples by asymmetric least squares (expectile regression).
  *
  * @param samples - the observations
  * @param options - weights and prior
- * @returns the coefficients, none of them negative
+ * @returns the coefficients, clamped to be non-negative
  *
  * @example
  * fitExpectile(samples, { aboveWeight: 0.1, prior: [1, 0], priorWeight: 1 });
  */
-export function fitExpectile(samples: readonly Sample[], options: FitOptions): number[] {
+export function fitExpectile(samples: readonly Sample[], options: FitExpectileOptions): number[] {
   let coefficients = [...options.prior];
-  for (let pass = 0; pass < passes; pass += 1) {
+  for (let iteration = 0; iteration < iterationCount; iteration += 1) {
     coefficients = fitOnce(samples, coefficients, options);
   }
   return coefficients;
@@ -41,43 +41,49 @@
 
 function fitOnce(
   samples: readonly Sample[],
-  before: readonly number[],
-  { aboveWeight, prior, priorWeight }: FitOptions,
+  previous: readonly number[],
+  { aboveWeight, prior, priorWeight }: FitExpectileOptions,
 ): number[] {
   const size = prior.length;
-  const rows = prior.map((coefficient, at) => {
+  const rows = prior.map((coefficient, rowIndex) => {
     const row = new Array<number>(size + 1).fill(0);
-    row[at] = priorWeight;
+    row[rowIndex] = priorWeight;
     row[size] = priorWeight * coefficient;
     return row;
   });
   for (const { value, factors } of samples) {
-    const weight = value > dot(before, factors) ? aboveWeight : 1 - aboveWeight;
-    rows.forEach((row, at) => {
-      const own = weight * (factors[at] ?? 0);
-      factors.forEach((factor, to) => (row[to] = (row[to] ?? 0) + own * factor));
-      row[size] = (row[size] ?? 0) + own * value;
+    const weight = value > dotProduct(previous, factors) ? aboveWeight : 1 - aboveWeight;
+    rows.forEach((row, rowIndex) => {
+      const weightedFactor = weight * (factors[rowIndex] ?? 0);
+      factors.forEach(
+        (factor, columnIndex) =>
+          (row[columnIndex] = (row[columnIndex] ?? 0) + weightedFactor * factor),
+      );
+      row[size] = (row[size] ?? 0) + weightedFactor * value;
     });
   }
   return solve(rows).map((coefficient) => Math.max(0, coefficient));
 }
 
-function dot(left: readonly number[], right: readonly number[]): number {
-  return left.reduce((sum, figure, at) => sum + figure * (right[at] ?? 0), 0);
+function dotProduct(left: readonly number[], right: readonly number[]): number {
+  return left.reduce((sum, element, index) => sum + element * (right[index] ?? 0), 0);
 }
 
-/** Solves a system whose matrix is symmetric and, by its prior, not singular. */
+/**
+ * Solves a linear system by Gauss-Jordan elimination without pivoting. The matrix is symmetric, and the
+ * prior keeps it from being singular.
+ */
 function solve(rows: number[][]): number[] {
   const size = rows.length;
-  rows.forEach((pivotRow, pivot) => {
-    const head = pivotRow[pivot] ?? 1;
-    rows.forEach((row, at) => {
-      if (at === pivot) return;
-      const share = (row[pivot] ?? 0) / head;
-      for (let to = pivot; to <= size; to += 1) {
-        row[to] = (row[to] ?? 0) - share * (pivotRow[to] ?? 0);
+  rows.forEach((pivotRow, pivotIndex) => {
+    const pivotValue = pivotRow[pivotIndex] ?? 1;
+    rows.forEach((row, rowIndex) => {
+      if (rowIndex === pivotIndex) return;
+      const multiplier = (row[pivotIndex] ?? 0) / pivotValue;
+      for (let columnIndex = pivotIndex; columnIndex <= size; columnIndex += 1) {
+        row[columnIndex] = (row[columnIndex] ?? 0) - multiplier * (pivotRow[columnIndex] ?? 0);
       }
     });
   });
-  return rows.map((row, at) => (row[size] ?? 0) / (row[at] ?? 1));
+  return rows.map((row, rowIndex) => (row[size] ?? 0) / (row[rowIndex] ?? 1));
 }
--- a/packages/routing/src/chooseInstances/index.ts
+++ b/packages/routing/src/chooseInstances/index.ts
@@ -3,24 +3,25 @@
 
 /** Options of {@link chooseInstances}. */
 export interface ChooseInstancesOptions {
-  /** How many instances to name. */
+  /** Number of instances to return; 2 by default. */
   count?: number;
-  /** Where the caller is, when it says so; an instance there comes first. */
+  /** Failure domain of the caller, if known; an instance in this domain is returned first. */
   nearFailureDomain?: FailureDomainId;
 }
 
 /**
- * Chooses the instances that an account's callers should use, the best first.
+ * Chooses the instances that an account's callers should use, in order of preference.
  *
- * Rendezvous hashing: the answer changes for an account only when one of its instances goes, so its
- * grants, request keys and cached prefixes meet in few places. The first is the account's best in
- * the caller's failure domain, where there is one. Each further one is the best in a domain not
- * named yet, while there are such, so that losing a domain leaves an account with an instance that
- * it knows. An answer with a higher count begins with the same instances.
+ * Uses rendezvous hashing: removing an instance affects only the accounts that used it, so an
+ * account's grants, request keys and cached prefixes stay on few instances. The first instance is the
+ * highest-ranked one in the caller's failure domain, if there is one. Each further instance is the
+ * highest-ranked one in a failure domain that is not yet covered, as long as there is one, so that an
+ * account that loses a failure domain still has an instance it already uses. A result with a higher
+ * count begins with the same instances.
  *
- * @param accountId - whose callers ask
+ * @param accountId - the client account of the callers
  * @param instances - entry instances, as listed
- * @param options - how many, and where the caller is
+ * @param options - number of instances and the caller's failure domain
  * @returns live instances only
  *
  * @example
@@ -37,17 +38,18 @@
     .filter((instance) => instance.role === 'entry' && instance.state === 'live')
     .sort((a, b) => score(b) - score(a) || (a.id < b.id ? -1 : 1));
   const chosen: ListedInstance[] = [];
-  const near = ranked.find((instance) => instance.failureDomain === nearFailureDomain);
-  if (near !== undefined && count > 0) chosen.push(near);
+  const nearest = ranked.find((instance) => instance.failureDomain === nearFailureDomain);
+  if (nearest !== undefined && count > 0) chosen.push(nearest);
   while (chosen.length < Math.min(count, ranked.length)) {
-    const rest = ranked.filter((instance) => !chosen.includes(instance));
-    const next = rest.find((instance) => !sharesDomain(instance, chosen)) ?? rest[0];
+    const remaining = ranked.filter((instance) => !chosen.includes(instance));
+    const next =
+      remaining.find((instance) => !sharesFailureDomain(instance, chosen)) ?? remaining[0];
     if (next === undefined) break;
     chosen.push(next);
   }
   return chosen;
 }
 
-function sharesDomain(instance: ListedInstance, chosen: readonly ListedInstance[]): boolean {
+function sharesFailureDomain(instance: ListedInstance, chosen: readonly ListedInstance[]): boolean {
   return chosen.some(({ failureDomain }) => failureDomain === instance.failureDomain);
 }
--- a/packages/routing/src/chooseInstances/test.ts
+++ b/packages/routing/src/chooseInstances/test.ts
@@ -12,7 +12,7 @@
 });
 const account = (index: number) => `account-${index}` as AccountId;
 
-test('losing an instance moves only the accounts that used it', (t) => {
+test('removing an instance moves only the accounts that used it', (t) => {
   const five = ['i1', 'i2', 'i3', 'i4', 'i5'].map(entry);
   const four = five.filter((instance) => instance.id !== 'i3');
   for (let index = 0; index < 200; index += 1) {
@@ -25,7 +25,7 @@
   }
 });
 
-test('names live instances only', (t) => {
+test('returns live instances only', (t) => {
   const leaving = { ...entry('i1'), state: 'leaving' as const };
   t.deepEqual(
     chooseInstances(account(1), [leaving, entry('i2')]).map(({ id }) => id),
@@ -34,39 +34,39 @@
 });
 
 const domains = ['a', 'a', 'b', 'b', 'c'] as FailureDomainId[];
-const spread = domains.map((failureDomain, index) => ({
+const acrossDomains = domains.map((failureDomain, index) => ({
   ...entry(`i${index + 1}`),
   failureDomain,
 }));
 
-test('the first instance is near, and the second in another failure domain', (t) => {
+test("the first instance is in the caller's failure domain and the second in another one", (t) => {
   for (let index = 0; index < 200; index += 1) {
     const nearFailureDomain = domains[index % domains.length] as FailureDomainId;
-    const chosen = chooseInstances(account(index), spread, { nearFailureDomain });
+    const chosen = chooseInstances(account(index), acrossDomains, { nearFailureDomain });
     t.is(chosen[0]?.failureDomain, nearFailureDomain);
     t.not(chosen[1]?.failureDomain, nearFailureDomain);
   }
 });
 
-test('more instances for a busy account begin with those it had', (t) => {
+test('a result with a higher count begins with the same instances', (t) => {
   for (let index = 0; index < 200; index += 1) {
-    const two = chooseInstances(account(index), spread, { count: 2 });
-    const four = chooseInstances(account(index), spread, { count: 4 });
+    const two = chooseInstances(account(index), acrossDomains, { count: 2 });
+    const four = chooseInstances(account(index), acrossDomains, { count: 4 });
     t.deepEqual(four.slice(0, 2), two);
     t.is(new Set(four).size, 4);
   }
 });
 
-// One of five instances goes. The accounts that used it must move; the first choice of the others
-// must not, or their grants and cached prefixes would be left behind for nothing.
-test('losing one of five instances moves one account in five, and spreads them', (t) => {
+// Guards against moving accounts that did not use the removed instance: they would lose access to their
+// grants and cached prefixes without need.
+test('removing one of five instances moves one account in five to all remaining instances', (t) => {
   const accounts = Array.from({ length: 1_000 }, (_, index) => account(index));
   const first = (id: AccountId, instances: ListedInstance[]) =>
     chooseInstances(id, instances)[0]?.id;
-  const four = spread.filter(({ id }) => id !== 'i3');
-  const moved = accounts.filter((id) => first(id, spread) !== first(id, four));
-  t.true(moved.every((id) => first(id, spread) === 'i3'));
+  const four = acrossDomains.filter(({ id }) => id !== 'i3');
+  const moved = accounts.filter((id) => first(id, acrossDomains) !== first(id, four));
+  t.true(moved.every((id) => first(id, acrossDomains) === 'i3'));
   t.true(moved.length > 150 && moved.length < 250, `${moved.length}`);
-  const takers = new Set(moved.map((id) => first(id, four)));
-  t.is(takers.size, 4);
+  const newInstances = new Set(moved.map((id) => first(id, four)));
+  t.is(newInstances.size, 4);
 });
--- a/packages/routing/src/chooseSubset/index.ts
+++ b/packages/routing/src/chooseSubset/index.ts
@@ -2,24 +2,28 @@
 
 /** Options of {@link chooseSubset}. */
 export interface ChooseSubsetOptions {
-  /** How many upstreams an instance should have on average. */
+  /** Average number of upstreams per instance; 32 by default. */
   meanUpstreams?: number;
-  /** How many instances each upstream has at least, so that losing one strands none. */
+  /**
+   * Minimum number of instances per upstream, so that every upstream stays in use when an instance is
+   * lost; 2 by default.
+   */
   minInstancesPerUpstream?: number;
 }
 
 /**
- * Chooses the upstreams of a service that one instance uses, without talking to the others.
+ * Chooses the upstreams of a service that one instance uses, without communication between instances.
  *
- * Each upstream is used by the few instances that rank first for it by rendezvous hash. Turned that
- * way round, no upstream is left without an instance, as would happen by chance if each instance
- * drew its own; and when an instance goes, only its own upstreams get another one.
+ * Each upstream is used by the few instances that rank highest for it by rendezvous hash. Ranking
+ * instances per upstream guarantees that no upstream is left without an instance, which could happen if
+ * each instance picked its own upstreams at random. When an instance is removed, only its own upstreams
+ * are assigned to another instance.
  *
- * @param instanceId - whose upstreams are wanted
+ * @param instanceId - the instance to choose for
  * @param instanceIds - all live instances
  * @param upstreamIds - all upstreams of the service
- * @param options - how many
- * @returns the chosen ones
+ * @param options - subset size and minimum coverage
+ * @returns ids of the chosen upstreams
  *
  * @example
  * const mine = chooseSubset(instanceId, instanceIds, upstreamIds, { meanUpstreams: 32 });
@@ -31,22 +35,27 @@
   options: ChooseSubsetOptions = {},
 ): ReadonlySet<UpstreamId> {
   const { meanUpstreams = 32, minInstancesPerUpstream = 2 } = options;
-  const wanted = Math.ceil((meanUpstreams * instanceIds.length) / Math.max(1, upstreamIds.length));
-  const perUpstream = Math.max(minInstancesPerUpstream, wanted);
-  if (perUpstream >= instanceIds.length) return new Set(upstreamIds);
-  const own = hashText(instanceId);
-  const others = instanceIds.filter((id) => id !== instanceId).map((id) => hashText(id));
-  const isMine = (upstreamId: UpstreamId) => {
-    const upstream = hashText(upstreamId);
-    const score = mix(own, upstream);
-    const before = others.reduce((sum, other) => sum + (mix(other, upstream) > score ? 1 : 0), 0);
-    return before < perUpstream;
+  const targetInstances = Math.ceil(
+    (meanUpstreams * instanceIds.length) / Math.max(1, upstreamIds.length),
+  );
+  const instancesPerUpstream = Math.max(minInstancesPerUpstream, targetInstances);
+  if (instancesPerUpstream >= instanceIds.length) return new Set(upstreamIds);
+  const ownHash = hashText(instanceId);
+  const otherHashes = instanceIds.filter((id) => id !== instanceId).map((id) => hashText(id));
+  const isSelected = (upstreamId: UpstreamId) => {
+    const upstreamHash = hashText(upstreamId);
+    const score = combineHashes(ownHash, upstreamHash);
+    const higherRanked = otherHashes.reduce(
+      (sum, other) => sum + (combineHashes(other, upstreamHash) > score ? 1 : 0),
+      0,
+    );
+    return higherRanked < instancesPerUpstream;
   };
-  return new Set(upstreamIds.filter(isMine));
+  return new Set(upstreamIds.filter(isSelected));
 }
 
-/** Joins two hashes into one, cheaply, since every pair of instance and upstream needs it. */
-function mix(a: number, b: number): number {
+/** Combines two hashes. Must be cheap because it runs for every pair of instance and upstream. */
+function combineHashes(a: number, b: number): number {
   let mixed = Math.imul(a ^ (b >>> 15) ^ Math.imul(b, 0x9e3779b1), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> 0;
--- a/packages/routing/src/chooseSubset/test.ts
+++ b/packages/routing/src/chooseSubset/test.ts
@@ -6,13 +6,13 @@
   Array.from({ length: count }, (_, index) => `${prefix}${index}` as Id);
 const upstreams = ids<UpstreamId>('e', 1_200);
 
-test('at the size of today every instance uses every upstream', (t) => {
+test('with 5 instances and 12 upstreams, every instance uses every upstream', (t) => {
   const instances = ids<InstanceId>('i', 5);
   const dozen = upstreams.slice(0, 12);
   t.is(chooseSubset('i1' as InstanceId, instances, dozen).size, 12);
 });
 
-test('each upstream has as many instances as wanted, and the subsets are of about one size', (t) => {
+test('each upstream has the requested number of instances, and subsets are similar in size', (t) => {
   const instances = ids<InstanceId>('i', 39);
   const uses = new Map<UpstreamId, number>();
   for (const instance of instances) {
@@ -23,16 +23,17 @@
   t.true(upstreams.every((id) => uses.get(id) === 2));
 });
 
-// An instance dies. Its upstreams must not be stranded, and nobody else's streams should move.
-test('losing an instance gives its upstreams another one and moves nothing else', (t) => {
+// Guards against upstreams that are used by no instance after one fails, and against needless changes
+// to the subsets of the others.
+test('removing an instance reassigns its upstreams and changes nothing else', (t) => {
   const instances = ids<InstanceId>('i', 40);
-  const left = instances.filter((id) => id !== 'i7');
+  const remaining = instances.filter((id) => id !== 'i7');
   const options = { meanUpstreams: 1, minInstancesPerUpstream: 3 };
-  const lost = chooseSubset('i7' as InstanceId, instances, upstreams, options);
-  for (const instance of left) {
+  const removedSubset = chooseSubset('i7' as InstanceId, instances, upstreams, options);
+  for (const instance of remaining) {
     const before = chooseSubset(instance, instances, upstreams, options);
-    const after = chooseSubset(instance, left, upstreams, options);
+    const after = chooseSubset(instance, remaining, upstreams, options);
     t.true([...before].every((id) => after.has(id)));
-    t.true([...after].every((id) => before.has(id) || lost.has(id)));
+    t.true([...after].every((id) => before.has(id) || removedSubset.has(id)));
   }
 });
--- a/packages/routing/src/estimatedLoad/index.ts
+++ b/packages/routing/src/estimatedLoad/index.ts
@@ -1,14 +1,14 @@
 import type { Upstream } from '../types.js';
 
 /**
- * An upstream's load as a fraction of its places: the last report, corrected by what this instance
- * began and ended there since it was measured, because reports lag.
+ * Estimates an upstream's load as a fraction of its concurrency. Reports lag, so the last report is
+ * corrected by the requests that this instance has started and finished there since it was measured.
  *
- * It is never less than what this instance has under way there: an upstream that accepts and never
- * answers, or that fails fast, reports no load.
+ * The estimate is at least this instance's in-flight requests there, because an upstream that accepts
+ * requests without ever answering, or that fails fast, reports no load.
  *
  * @param upstream - as this instance sees it
- * @returns 1 when all places are taken
+ * @returns 1 if the upstream runs as many requests as it can
  *
  * @example
  * estimatedLoad(upstream);
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Routing decisions: which upstream, in which order, and how many at once.
+ * Routing decisions: choice of upstream, admission order, concurrency and rate limits, health.
  */
 export * from './types.js';
 export * from './UpstreamChoice/index.js';
--- a/packages/routing/src/placePrompt/index.ts
+++ b/packages/routing/src/placePrompt/index.ts
@@ -1,49 +1,53 @@
 import { rankByKey, type Identified } from '../rankByKey/index.js';
 
-/** What an instance knows of an engine's work. */
+/** The load of an engine as estimated by this instance. */
 export interface EngineWork extends Identified {
-  /** Reading that is queued there, as far as this instance knows or guesses, in milliseconds. */
+  /** Estimated prefill time of the prompts already queued at the engine, in milliseconds. */
   readonly backlogMs: number;
-  /** Streams under way there, as far as is known. */
+  /** Number of streams known to be running at the engine. */
   readonly running: number;
 }
 
-/** A prompt, as far as its place goes by it. */
+/** The properties of a prompt that determine its placement. */
 export interface PromptToPlace {
-  /** The last part that other prompts share. */
+  /** Identifies the last prompt part that is shared with other prompts. */
   readonly key: string;
-  /** What it takes to have the shared parts at an engine that does not hold them, in milliseconds. */
+  /** Time to make the shared parts available at an engine that does not hold them, in milliseconds. */
   readonly sharedMs: number;
-  /** Engines that are known to hold the shared parts. */
+  /** Ids of the engines known to have the shared parts in their prefix cache. */
   readonly holders: ReadonlySet<string>;
 }
 
-/** Where a prompt goes. */
-export interface PromptPlace<Engine> {
+/** The engine chosen for a prompt. */
+export interface PromptPlacement<Engine> {
   readonly engine: Engine;
-  /** The engine that most likely holds the shared parts; undefined where it is the same. */
+  /** The engine most likely to hold the shared parts; undefined if it is the chosen engine. */
   readonly holder: Engine | undefined;
 }
 
-/** What a running stream counts for, in milliseconds of reading: it slows each step a little. */
-const runningMs = 1;
 /**
- * What each step away from the first choice counts for, in milliseconds: instances that see nothing of
- * each other then spill a part to the same few engines.
+ * Cost of a running stream, in milliseconds of prefill time. A running stream slows each step of the
+ * engine slightly.
  */
-const orderMs = 5;
+const runningStreamCostMs = 1;
+/**
+ * Cost of each rank after the first in the rendezvous order, in milliseconds. Makes instances that
+ * cannot observe each other's load spill a part to the same few engines.
+ */
+const rankCostMs = 5;
 
 /**
- * Chooses the engine at which a prompt is read first, counting what is read there before it and what
- * it takes to have the shared parts there.
+ * Chooses the engine with the lowest cost for a prompt: the prefill backlog ahead of the prompt, the time
+ * to make its shared parts available, and small penalties for running streams and a lower rank.
  *
- * Answers two loads. Prompts with large shared parts: sent anywhere, each engine would read every part
- * again. A hot part: its first engine would read one prompt after the other while others idle, so it
- * spills where the wait is longer than reading the part once more.
+ * Handles two kinds of load. Prompts with large shared parts: without affinity, every engine would
+ * prefill every part. A frequently used part: its first engine would prefill one prompt after another
+ * while other engines are idle, so prompts spill to another engine once the wait exceeds the time to
+ * make the part available there.
  *
- * @param prompt - the shared parts and what they cost
+ * @param prompt - the shared parts, their cost and their holders
  * @param engines - candidates
- * @returns the place; undefined without candidates
+ * @returns the placement; undefined without candidates
  *
  * @example
  * placePrompt({ key: '5c1e07a2', sharedMs: 90, holders: new Set() }, engines)?.engine;
@@ -51,21 +55,22 @@
 export function placePrompt<Engine extends EngineWork>(
   { key, sharedMs, holders }: PromptToPlace,
   engines: readonly Engine[],
-): PromptPlace<Engine> | undefined {
+): PromptPlacement<Engine> | undefined {
   const ranked = rankByKey(key, engines);
-  const known = ranked.filter(({ id }) => holders.has(id));
-  // Where nothing is known of a part, another instance has most likely sent it to the first choice.
-  const supposed = known.length > 0 ? known : ranked.slice(0, 1);
+  const knownHolders = ranked.filter(({ id }) => holders.has(id));
+  // If no holder is known, another instance has most likely sent the part to the first-ranked engine.
+  const assumedHolders = knownHolders.length > 0 ? knownHolders : ranked.slice(0, 1);
   let best: Engine | undefined;
   let bestCostMs = Infinity;
-  ranked.forEach((engine, index) => {
-    const fetchMs = supposed.includes(engine) ? 0 : sharedMs;
-    const costMs = engine.backlogMs + engine.running * runningMs + fetchMs + index * orderMs;
+  ranked.forEach((engine, rank) => {
+    const acquireMs = assumedHolders.includes(engine) ? 0 : sharedMs;
+    const costMs =
+      engine.backlogMs + engine.running * runningStreamCostMs + acquireMs + rank * rankCostMs;
     if (costMs >= bestCostMs) return;
     best = engine;
     bestCostMs = costMs;
   });
   if (best === undefined) return undefined;
-  const [holder] = supposed;
-  return { engine: best, holder: supposed.includes(best) ? undefined : holder };
+  const [holder] = assumedHolders;
+  return { engine: best, holder: assumedHolders.includes(best) ? undefined : holder };
 }
--- a/packages/routing/src/rankByKey/index.ts
+++ b/packages/routing/src/rankByKey/index.ts
@@ -1,20 +1,20 @@
 import { hashText } from '@acaciacrank/base';
 
-/** Something with an id that can be ranked. */
+/** A candidate that can be ranked by its id. */
 export interface Identified {
   readonly id: string;
 }
 
 /**
- * Orders candidates by rendezvous hash of a key.
+ * Orders candidates by the rendezvous hash of a key.
  *
- * All instances find the same order without a message, and a candidate that comes or goes moves only
- * the keys that it was first for. So requests that share a part of their prompt meet at one engine,
- * which has read it already.
+ * All instances compute the same order without communication, and adding or removing a candidate moves
+ * only the keys for which it ranks first. Requests that share a part of their prompt are therefore sent
+ * to the same engine, which already has that part in its cache.
  *
- * @param key - what the order is for, for example a prompt part's id
- * @param candidates - any order
- * @returns a new list, the first choice first
+ * @param key - the key to rank for, for example a prompt part's id
+ * @param candidates - in any order
+ * @returns a new array, ordered from highest to lowest rank
  *
  * @example
  * rankByKey('5c1e07a2', engines)[0];
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * What routing decisions look at.
+ * Input to routing decisions.
  */
 import type { FailureDomainId, ServiceName, UpstreamId } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
@@ -7,35 +7,37 @@
 import type { ConcurrencyLimit } from './ConcurrencyLimit/index.js';
 import type { UpstreamHealth } from './UpstreamHealth/index.js';
 
-/** An upstream, as this instance sees it. */
+/** State of an upstream as observed by this instance. */
 export interface Upstream {
   readonly id: UpstreamId;
   readonly service: ServiceName;
   readonly failureDomain: FailureDomainId;
+  /** Client of an inference engine; undefined for other services. */
   readonly engine: EngineClient | undefined;
+  /** Client of a service other than an engine; undefined for engines. */
   readonly plain: ServiceClient | undefined;
-  /** Requests that this instance has under way there. */
+  /** Number of in-flight requests of this instance at the upstream. */
   inFlightRequests: number;
-  /** Requests that this instance began there, less those that ended, since the last report. */
+  /** Requests of this instance started minus ended there since the last report was measured. */
   sentSinceReport: number;
   /**
-   * Added to the reported requests because the part that is not this instance's is out of date: it
-   * draws that part towards the mean over the service's upstreams, the more the later the report.
+   * Added to the reported requests because the reported requests of other instances are out of date:
+   * moves them towards their mean over the service's upstreams, the further the older the report is.
    */
   lagCorrection: number;
   report: LoadReport | undefined;
   state: 'live' | 'leaving';
-  /** Rises when the upstream has restarted under the same id: what it cached is gone. */
+  /** Incremented when the upstream has restarted under the same id, which empties its cache. */
   incarnation: number;
-  /** It refused work and has not reported since that it is live: it may be leaving. */
+  /** Whether it has refused a request and not reported since that it is live; it may be leaving. */
   isSuspect: boolean;
-  /** How many requests this instance may have under way there. */
+  /** Limits the in-flight requests of this instance at the upstream. */
   readonly limit: ConcurrencyLimit;
-  /** What this instance has seen of it itself. */
+  /** Health as observed by this instance's own requests. */
   readonly health: UpstreamHealth;
 }
 
-/** Opens clients for upstreams; the one place where real and in-process forms differ. */
+/** Creates the clients of upstreams; real and in-process upstreams differ only here. */
 export abstract class UpstreamClients {
   abstract engine(entry: ListedInstance): EngineClient;
   abstract service(entry: ListedInstance): ServiceClient;
