--- a/packages/base/src/Clock/index.ts
+++ b/packages/base/src/Clock/index.ts
@@ -1,31 +1,27 @@
 /**
- * The time that decisions are made by, in milliseconds.
- */
-
-/**
- * Two readings of time and a way to wait.
+ * The source of time for all decisions: a wall clock, a monotonic clock and timers, in milliseconds.
  *
- * `wallMs` may jump and is only for times that other machines read (grant expiry, lease end).
- * `monotonicMs` never goes back and is what a holder measures its own leases and timeouts with.
+ * `wallMs` may jump; use it only for times that other machines read (grant expiry, lease end).
+ * `monotonicMs` never goes back; a lease holder measures its own leases and timeouts with it.
  */
 export abstract class Clock {
-  /** Milliseconds since 1970, as this machine believes; may jump. */
+  /** Milliseconds since 1970 by this machine's wall clock; may jump. */
   abstract wallMs(): number;
 
-  /** Milliseconds since some fixed moment of this process; never goes back. */
+  /** Milliseconds since a fixed point in this process; never goes back. */
   abstract monotonicMs(): number;
 
   /**
-   * Runs a task once after a delay.
+   * Schedules a task to run once after a delay.
    *
    * @param delayMs - how long to wait; a negative delay counts as zero
    * @param task - what to run; it must not throw
-   * @returns disposes of the timer when it has not run yet
+   * @returns cancels the timer on disposal, unless it has already run
    */
   abstract schedule(delayMs: number, task: () => void): Disposable;
 
   /**
-   * Waits, or returns early when the signal is aborted.
+   * Waits for a duration, or returns early when the signal is aborted.
    *
    * @param durationMs - how long to wait
    * @param signal - ends the wait early; the promise still resolves
--- a/packages/base/src/DisposableStore/index.ts
+++ b/packages/base/src/DisposableStore/index.ts
@@ -1,22 +1,22 @@
 /**
- * Gathers what must be cleaned up, and disposes of it in reverse order.
+ * Collects disposable items and disposes of them in reverse order.
  *
- * Adding to a store that is already disposed of disposes of the item at once, so that a task that
- * loses a race with shutdown leaks nothing.
+ * An item that is added after disposal has begun is disposed of immediately, so that a task that
+ * is still starting during shutdown leaks nothing.
  */
 export class DisposableStore implements AsyncDisposable {
   readonly #items: (Disposable | AsyncDisposable)[] = [];
   #disposed = false;
 
-  /** Whether {@link dispose} has begun. */
+  /** Whether {@link dispose} has been called. */
   get isDisposed(): boolean {
     return this.#disposed;
   }
 
   /**
-   * Keeps an item until the store is disposed of.
+   * Adds an item that is disposed of together with the store.
    *
-   * @param item - what to dispose of later
+   * @param item - the item to dispose of later
    * @returns the same item
    *
    * @example
@@ -28,7 +28,7 @@
     return item;
   }
 
-  /** Disposes of all items, the last added first. */
+  /** Disposes of all items, the most recently added first. */
   async dispose(): Promise<void> {
     if (this.#disposed) return;
     this.#disposed = true;
--- a/packages/base/src/DisposableStore/test.ts
+++ b/packages/base/src/DisposableStore/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { DisposableStore } from './index.js';
 
-test('disposes in reverse order, and at once when already disposed of', async (t) => {
+test('disposes of items in reverse order, and immediately once the store is disposed of', async (t) => {
   const store = new DisposableStore();
   const order: number[] = [];
   const item = (id: number) => ({ [Symbol.dispose]: () => void order.push(id) });
--- a/packages/base/src/ManualClock/index.ts
+++ b/packages/base/src/ManualClock/index.ts
@@ -2,11 +2,11 @@
 
 interface Timer {
   readonly dueMs: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly task: () => void;
 }
 
-/** After how many timers real input and output gets a turn. */
+/** Number of timers to run before the event loop gets a turn for real I/O. */
 const timersBetweenYields = 1_000;
 
 /** Options of {@link ManualClock}. */
@@ -16,15 +16,15 @@
 }
 
 /**
- * A clock that moves only when told, for tests, experiments and fault runs.
+ * A virtual clock that moves only when advanced, for tests, experiments and fault-injection runs.
  *
- * Timers run in order of their due time, and in order of creation where that is equal, so that a
- * run with the same seed always does the same.
+ * Timers run in order of their due time, and in order of creation where due times are equal, so
+ * that runs with the same seed are identical.
  */
 export class ManualClock extends Clock {
   #elapsedMs = 0;
   #wallOffsetMs: number;
-  #order = 0;
+  #lastSequence = 0;
   #timersRun = 0;
   readonly #timers: Timer[] = [];
 
@@ -41,16 +41,16 @@
     return this.#elapsedMs;
   }
 
-  /** How many timers wait. */
+  /** Number of timers that have not run yet. */
   get pendingTimers(): number {
     return this.#timers.length;
   }
 
   override schedule(delayMs: number, task: () => void): Disposable {
-    this.#order += 1;
+    this.#lastSequence += 1;
     const timer: Timer = {
       dueMs: this.#elapsedMs + Math.max(0, delayMs),
-      order: this.#order,
+      sequence: this.#lastSequence,
       task,
     };
     this.#insert(timer);
@@ -62,15 +62,15 @@
     };
   }
 
-  /** Makes the wall clock jump without time passing, as a bad time source does. */
-  jumpWall(byMs: number): void {
-    this.#wallOffsetMs += byMs;
+  /** Shifts the wall clock without advancing time, as a faulty time source does. */
+  jumpWall(offsetMs: number): void {
+    this.#wallOffsetMs += offsetMs;
   }
 
   /**
-   * Lets time pass, running each timer at its time and letting promises settle in between.
+   * Advances time, running each timer at its due time and letting promises settle in between.
    *
-   * @param durationMs - how far to go
+   * @param durationMs - how far to advance
    *
    * @example
    * const clock = new ManualClock();
@@ -88,26 +88,26 @@
   /**
    * Advances until a promise settles, and returns its value.
    *
-   * @param work - what to wait for
+   * @param work - the promise to wait for
    * @param limitMs - how much virtual time may pass
    * @throws Error when the limit passes first, and whatever `work` rejects with
    */
   async runUntil<Value>(work: Promise<Value>, limitMs = 3_600_000): Promise<Value> {
     let settled = false;
-    const watched = work.finally(() => {
+    const tracked = work.finally(() => {
       settled = true;
     });
-    watched.catch(() => undefined);
+    tracked.catch(() => undefined);
     const untilMs = this.#elapsedMs + limitMs;
     await yieldToEventLoop();
-    // The promise settles while this waits, which the compiler does not see.
+    // A function, because the compiler does not see that `settled` changes during an await.
     const isSettled = () => settled;
     while (!isSettled()) {
       const nextMs = this.#timers[0]?.dueMs ?? Infinity;
       if (nextMs > untilMs) throw new Error(`nothing settled within ${limitMs} ms of virtual time`);
       await this.#runNext();
     }
-    return watched;
+    return tracked;
   }
 
   async #runNext(): Promise<void> {
@@ -134,8 +134,8 @@
 }
 
 /**
- * Lets every promise that is ready run its continuations. A task given to `nextTick` from a
- * microtask runs when no microtask is left; that costs far less than a turn of the event loop.
+ * Waits until all pending microtasks have run. A callback passed to `nextTick` from a microtask runs
+ * once the microtask queue is empty, which costs far less than a turn of the event loop.
  */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => {
@@ -143,7 +143,7 @@
   });
 }
 
-/** Lets real input and output happen, so that a long run does not starve the process. */
+/** Gives the event loop a turn, so that a long run does not starve real I/O. */
 function yieldToEventLoop(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
--- a/packages/base/src/ManualClock/test.ts
+++ b/packages/base/src/ManualClock/test.ts
@@ -13,7 +13,7 @@
   t.deepEqual(order, ['first', 'second', 'late']);
 });
 
-test('a wall jump leaves monotonic time alone', (t) => {
+test('a jump of the wall clock does not change monotonic time', (t) => {
   const clock = new ManualClock({ startWallMs: 1_000 });
   clock.jumpWall(-500);
   t.is(clock.wallMs(), 500);
--- a/packages/base/src/Metrics/index.ts
+++ b/packages/base/src/Metrics/index.ts
@@ -1,20 +1,20 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** Name of the series that takes what comes after the bound is reached. */
+/** Name of the series that collects values once a metric has its maximum number of series. */
 export const overflowSeries = '(overflow)';
 
 /** Options of {@link Metrics}. */
 export interface MetricsOptions {
-  /** How many label sets one metric may have before the rest shares one series. */
+  /** Maximum number of series per metric; further ones share {@link overflowSeries}. */
   maxSeries?: number;
 }
 
-/** One summarised histogram series. */
+/** Summary of one histogram series. */
 export interface HistogramSummary {
   readonly metric: string;
   readonly series: string;
   readonly count: number;
-  /** The sum of what was recorded, as far as the histogram's precision tells. */
+  /** The sum of the recorded values, within the histogram's precision. */
   readonly sum: number;
   readonly p50: number;
   readonly p95: number;
@@ -25,8 +25,9 @@
 /**
  * Counters and histograms by name and series (for example client account and class).
  *
- * The number of series is bounded: 2,300 client accounts times classes would otherwise grow an
- * instance's memory with each new account; what comes after the bound shares one series that says so.
+ * The number of series is bounded: with 2,300 client accounts times their classes, an instance's
+ * memory would otherwise grow with each new account. Once the bound is reached, values of new
+ * series are added to {@link overflowSeries}.
  */
 export class Metrics {
   readonly #maxSeries: number;
@@ -37,23 +38,23 @@
     this.#maxSeries = options.maxSeries ?? 512;
   }
 
-  /** Adds to a counter. */
+  /** Increments a counter. */
   count(metric: string, series = '', by = 1): void {
-    const counters = upsert(this.#counters, metric, () => new Map<string, number>());
-    const name = this.#boundedSeries(counters, series);
+    const counters = getOrCreate(this.#counters, metric, () => new Map<string, number>());
+    const name = this.#limitSeries(counters, series);
     counters.set(name, (counters.get(name) ?? 0) + by);
   }
 
-  /** A counter's value; 0 when it was never counted. */
+  /** Returns a counter's value; 0 if it was never incremented. */
   counter(metric: string, series = ''): number {
     return this.#counters.get(metric)?.get(series) ?? 0;
   }
 
-  /** Records a value, rounded to a whole number of the metric's unit. */
+  /** Records a value in a histogram, rounded to a whole number of the metric's unit. */
   record(metric: string, series: string, value: number): void {
-    const histograms = upsert(this.#histograms, metric, () => new Map<string, Histogram>());
-    const name = this.#boundedSeries(histograms, series);
-    const histogram = upsert(histograms, name, () =>
+    const histograms = getOrCreate(this.#histograms, metric, () => new Map<string, Histogram>());
+    const name = this.#limitSeries(histograms, series);
+    const histogram = getOrCreate(histograms, name, () =>
       build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: 3_600_000,
@@ -63,7 +64,7 @@
     histogram.recordValue(Math.min(3_600_000, Math.max(0, Math.round(value))));
   }
 
-  /** All counters, as [metric, series, value] rows in a fixed order. */
+  /** Returns all counters, sorted by metric and series. */
   counters(): { metric: string; series: string; value: number }[] {
     return [...this.#counters]
       .flatMap(([metric, bySeries]) =>
@@ -72,7 +73,7 @@
       .sort((a, b) => a.metric.localeCompare(b.metric) || a.series.localeCompare(b.series));
   }
 
-  /** All histograms, summarised. */
+  /** Returns a summary of each histogram series. */
   summaries(): HistogramSummary[] {
     return [...this.#histograms].flatMap(([metric, bySeries]) =>
       [...bySeries].map(([series, histogram]) => ({
@@ -88,16 +89,16 @@
     );
   }
 
-  #boundedSeries(known: ReadonlyMap<string, unknown>, series: string): string {
-    if (known.has(series) || known.size < this.#maxSeries) return series;
+  #limitSeries(existingSeries: ReadonlyMap<string, unknown>, series: string): string {
+    if (existingSeries.has(series) || existingSeries.size < this.#maxSeries) return series;
     return overflowSeries;
   }
 }
 
-function upsert<Key, Value>(map: Map<Key, Value>, key: Key, make: () => Value): Value {
-  const found = map.get(key);
-  if (found !== undefined) return found;
-  const made = make();
-  map.set(key, made);
-  return made;
+function getOrCreate<Key, Value>(map: Map<Key, Value>, key: Key, create: () => Value): Value {
+  const existing = map.get(key);
+  if (existing !== undefined) return existing;
+  const created = create();
+  map.set(key, created);
+  return created;
 }
--- a/packages/base/src/RouterError/index.ts
+++ b/packages/base/src/RouterError/index.ts
@@ -3,37 +3,40 @@
   errorAnswers,
   type ErrorAnswer,
   type ErrorKind,
-  type RunClaim,
+  type ExecutionClaim,
 } from '../errorKinds/index.js';
 
 /** Options of {@link RouterError}. */
 export interface RouterErrorOptions {
   /** The error that led to this one. */
   cause?: Error;
-  /** Replaces the table's claim where more is known. */
-  ran?: RunClaim;
-  /** Replaces the table's time to come back, in milliseconds. */
+  /** Overrides the claim in {@link errorAnswers} where more is known. */
+  ran?: ExecutionClaim;
+  /** Overrides the retry delay in {@link errorAnswers}, in milliseconds. */
   retryAfterMs?: number;
-  /** Whether the claim speaks for the request under its key, or only for this attempt. */
+  /**
+   * Whether `ran` applies to all attempts of the request with this idempotency key, or only to this
+   * attempt (the default).
+   */
   claimScope?: 'request' | 'attempt';
 }
 
 /**
- * An error of one of the closed list of kinds.
+ * An error with one of the defined error kinds.
  *
- * It is a native error, since a class derived from `VError` is not one to Node's `isNativeError`
- * and so to debuggers and test runners. It keeps its cause where `VError` looks for it, so that
- * `VError.cause`, `VError.findCauseByName` and `VError.fullStack` work on it.
+ * It extends the native `Error`, because Node's `isNativeError`, and with it debuggers and test
+ * runners, does not recognise classes derived from `VError`. It stores its cause where `VError`
+ * looks for it, so that `VError.cause`, `VError.findCauseByName` and `VError.fullStack` work on it.
  *
  * @example
  * throw new RouterError('budgetExhausted', 'budget wellington-2026 has 12 tokens left');
  */
 export class RouterError extends Error {
   override readonly name = 'RouterError';
-  /** Where `VError` keeps the cause. */
+  /** The cause, under the property name that `VError` reads. */
   readonly jse_cause: Error | undefined;
   readonly kind: ErrorKind;
-  readonly ran: RunClaim;
+  readonly ran: ExecutionClaim;
   readonly retryAfterMs: number | undefined;
   readonly claimScope: 'request' | 'attempt';
 
@@ -47,17 +50,17 @@
     this.claimScope = options.claimScope ?? 'attempt';
   }
 
-  /** This error's stack and those of all its causes. */
+  /** The stack of this error followed by those of all its causes. */
   get fullStack(): string {
     return VError.fullStack(this);
   }
 
-  /** HTTP status from the table. */
+  /** HTTP status for this error's kind. */
   get httpStatus(): number {
     return errorAnswers[this.kind].httpStatus;
   }
 
-  /** What to do, from the table. */
+  /** What the caller or operator should do about this kind of error. */
   get remedy(): string {
     return errorAnswers[this.kind].remedy;
   }
--- a/packages/base/src/StateStream/index.ts
+++ b/packages/base/src/StateStream/index.ts
@@ -1,16 +1,16 @@
 import { Stream, type Scheduler, type Sink, type Source } from 'most';
 
 /**
- * State that changes, as a `most` stream with a current value.
+ * An observable value: a `most` stream that also has a current value.
  *
- * A late subscriber receives the current value first, then each change. Every subscriber receives
- * every value: nothing is dropped or merged on the way.
+ * A new subscriber receives the current value first, then each change. Every subscriber receives
+ * every value: none are dropped or merged.
  */
 export class StateStream<Value> {
   #value: Value;
   readonly #sinks = new Set<{ sink: Sink<Value>; scheduler: Scheduler }>();
 
-  /** The current value, then every change. */
+  /** Emits the current value on subscription, then every change. */
   readonly changes: Stream<Value>;
 
   constructor(initial: Value) {
@@ -32,14 +32,14 @@
   }
 
   /**
-   * Tells the current value and every change to a listener.
+   * Calls a listener with the current value and with every change.
    *
-   * @param onValue - called once a value
+   * @param onValue - called with each value
    * @param onError - called when the stream fails
-   * @returns dispose of it to hear no more
+   * @returns unsubscribes the listener on disposal
    *
    * @example
-   * const following = versions.follow((version) => log.info({ version }), fail);
+   * const subscription = versions.follow((version) => log.info({ version }), fail);
    */
   follow(onValue: (value: Value) => void, onError: (error: Error) => void): Disposable {
     const subscription = this.changes.subscribe({
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Replaces the value and tells every subscriber.
+   * Replaces the value and notifies every subscriber.
    *
    * @param value - the new value
    *
--- a/packages/base/src/StateStream/test.ts
+++ b/packages/base/src/StateStream/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { StateStream } from './index.js';
 
-test('a late subscriber sees the current value first, then changes', (t) => {
+test('a new subscriber receives the current value first, then changes', (t) => {
   const state = new StateStream(1);
   state.set(2);
   const seen: number[] = [];
@@ -18,15 +18,15 @@
   t.deepEqual(seen, [20, 30]);
 });
 
-test('a listener hears the current value and changes until it is disposed of', (t) => {
+test('a listener receives the current value and changes until its subscription is disposed of', (t) => {
   const state = new StateStream(1);
   const seen: number[] = [];
-  const following = state.follow(
+  const subscription = state.follow(
     (value) => void seen.push(value),
     (error) => t.fail(error.message),
   );
   state.set(2);
-  following[Symbol.dispose]();
+  subscription[Symbol.dispose]();
   state.set(3);
   t.deepEqual(seen, [1, 2]);
 });
--- a/packages/base/src/SystemClock/index.ts
+++ b/packages/base/src/SystemClock/index.ts
@@ -1,6 +1,6 @@
 import { Clock } from '../Clock/index.js';
 
-/** The machine's own clocks. */
+/** The clocks and timers of this machine. */
 export class SystemClock extends Clock {
   override wallMs(): number {
     return Date.now();
--- a/packages/base/src/constants/index.ts
+++ b/packages/base/src/constants/index.ts
@@ -1,5 +1,5 @@
 /**
- * Unit constants, in one place and named in full.
+ * Constants for converting units.
  */
 
 /** Milliseconds in one second. */
--- a/packages/base/src/createLog/index.ts
+++ b/packages/base/src/createLog/index.ts
@@ -1,29 +1,29 @@
 import bunyan from 'bunyan';
 
-/** A structured log; lines are for changes of state only, counters tell the rest. */
+/** A structured logger. Log state changes only; count frequent events in metrics instead. */
 export type Log = bunyan;
 
-/** All that a log needs of the stream it writes to. */
+/** The part of a writable stream that a logger uses. */
 export interface LogSink {
   write(line: string): unknown;
 }
 
 /** Options of {@link createLog}. */
 export interface CreateLogOptions {
-  /** The lowest level that is written. */
+  /** The lowest level that is written; `info` by default. */
   level?: 'debug' | 'info' | 'warn' | 'error' | 'fatal';
-  /** Fields on every line, for example the instance id. */
+  /** Fields to add to every line, for example the instance id. */
   fields?: Record<string, string>;
-  /** Where lines go; standard error by default, so that standard output stays for results. */
+  /** Where to write lines; standard error by default, so that standard output is left for results. */
   stream?: LogSink;
 }
 
 /**
- * Makes a bunyan log that writes to standard error.
+ * Creates a bunyan logger that writes to standard error by default.
  *
  * @param name - the program's name
  * @param options - level, common fields and stream
- * @returns the log
+ * @returns the logger
  *
  * @example
  * const log = createLog('acaciacrank', { fields: { instanceId: 'a1' } });
@@ -34,7 +34,7 @@
     name,
     ...options.fields,
     level: options.level ?? 'info',
-    // The declared type asks for a whole stream; only `write` is ever called.
+    // bunyan's type requires a full writable stream, but it only calls `write`.
     stream: (options.stream ?? process.stderr) as NodeJS.WritableStream,
   });
 }
--- a/packages/base/src/createLogStream/index.ts
+++ b/packages/base/src/createLogStream/index.ts
@@ -4,28 +4,28 @@
 export interface CreateLogStreamOptions {
   /** The file descriptor to write to; standard output by default. */
   fileDescriptor?: number;
-  /** The most bytes that wait to be written; lines beyond that are dropped. */
+  /** Maximum number of buffered bytes (1 MiB by default); further lines are dropped. */
   maxBufferedBytes?: number;
-  /** Called for each line that is dropped. */
+  /** Called for each dropped line and each write error. */
   onDrop: () => void;
 }
 
-/** Some seconds of lines at full load; beyond that memory is worth more than the line. */
+/** Holds several seconds of log lines at full load; beyond that, lines are dropped to save memory. */
 const defaultMaxBufferedBytes = 1_048_576;
-/** Lines are gathered up to this many bytes before a write, since each write costs a system call. */
-const gatheredBytes = 4_096;
-/** The longest time that a line waits to be gathered, in milliseconds. */
-const flushMs = 500;
+/** Bytes to buffer before a write, since each write costs a system call. */
+const minWriteBytes = 4_096;
+/** Longest time that a line stays buffered before it is written, in milliseconds. */
+const flushIntervalMs = 500;
 
 /**
- * A stream for log lines that never blocks its writer.
+ * Creates a stream for log lines that never blocks its writer.
  *
- * Guards against a reader of standard output that stops reading: a plain write would then block the
- * whole process, requests included. Here lines wait in memory up to a bound, and then are dropped
- * and counted.
+ * If the reader of standard output stops reading, a synchronous write would block the whole process
+ * and all its requests. This stream buffers lines in memory up to a bound, then drops further lines
+ * and calls `onDrop` for each.
  *
- * @param options - where to, how much may wait, and who counts drops
- * @returns a stream for `createLog`; dispose of it to write what is left
+ * @param options - the destination, the buffer size and the callback for dropped lines
+ * @returns a stream for `createLog`; dispose of it to flush the buffer
  *
  * @example
  * const stream = createLogStream({ onDrop: () => metrics.count('droppedLogLines') });
@@ -34,12 +34,12 @@
   const stream = new sonicBoom.SonicBoom({
     fd: options.fileDescriptor ?? process.stdout.fd,
     sync: false,
-    minLength: gatheredBytes,
+    minLength: minWriteBytes,
     maxLength: options.maxBufferedBytes ?? defaultMaxBufferedBytes,
-    periodicFlush: flushMs,
+    periodicFlush: flushIntervalMs,
   });
   stream.on('drop', options.onDrop);
-  // A closed pipe is no reason to end: requests are served without a log as well.
+  // Do not crash when the pipe is closed: requests can be served without a log.
   stream.on('error', options.onDrop);
   return stream;
 }
--- a/packages/base/src/createRandom/index.ts
+++ b/packages/base/src/createRandom/index.ts
@@ -1,10 +1,11 @@
 import type { Random } from '../types.js';
 
 /**
- * A seeded random source (mulberry32), so that experiments and fault runs repeat.
+ * Creates a seeded random number generator (mulberry32), so that experiments and fault-injection
+ * runs are repeatable.
  *
  * @param seed - any whole number
- * @returns yields numbers in [0, 1), the same ones for the same seed
+ * @returns a function that yields numbers in [0, 1), the same sequence for the same seed
  *
  * @example
  * createRandom(1)() === createRandom(1)();
--- a/packages/base/src/createRandom/test.ts
+++ b/packages/base/src/createRandom/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createRandom } from './index.js';
 
-test('repeats for a seed, differs between seeds, stays in range', (t) => {
+test('yields the same sequence for a seed, another for another seed, and stays in range', (t) => {
   const first = Array.from({ length: 5 }, createRandom(7));
   t.deepEqual(Array.from({ length: 5 }, createRandom(7)), first);
   t.notDeepEqual(Array.from({ length: 5 }, createRandom(8)), first);
--- a/packages/base/src/describeError/index.ts
+++ b/packages/base/src/describeError/index.ts
@@ -1,10 +1,10 @@
 import { RouterError } from '../RouterError/index.js';
 
 /**
- * Turns anything that was thrown into an error of the closed list.
+ * Converts any thrown value to a {@link RouterError}.
  *
- * @param thrown - what a `catch` received
- * @returns the same error where it is one of ours, else one of kind `internal`
+ * @param thrown - the value caught
+ * @returns the same error if it is a `RouterError`, else a new one of kind `internal`
  *
  * @example
  * describeError(new TypeError('x')).kind;
--- a/packages/base/src/describeError/test.ts
+++ b/packages/base/src/describeError/test.ts
@@ -2,10 +2,10 @@
 import { RouterError } from '../RouterError/index.js';
 import { describeError } from './index.js';
 
-test('keeps errors of the closed list and wraps the rest', (t) => {
-  const known = new RouterError('tooLarge', 'the body has 9 bytes; 8 are allowed');
-  t.is(describeError(known), known);
-  t.is(known.httpStatus, 413);
+test('keeps a RouterError and wraps other errors', (t) => {
+  const original = new RouterError('tooLarge', 'the body has 9 bytes; 8 are allowed');
+  t.is(describeError(original), original);
+  t.is(original.httpStatus, 413);
   const wrapped = describeError(new TypeError('boom'));
   t.is(wrapped.kind, 'internal');
   t.is(wrapped.ran, 'unknown');
--- a/packages/base/src/digestText/index.ts
+++ b/packages/base/src/digestText/index.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
 
 /**
- * SHA-256 of a text or bytes, in hexadecimal.
+ * Returns the SHA-256 digest of a text or bytes, in hexadecimal.
  *
- * @param data - what to digest
+ * @param data - the text or bytes to digest
  * @returns 64 hexadecimal digits
  *
  * @example
--- a/packages/base/src/errorKinds/index.ts
+++ b/packages/base/src/errorKinds/index.ts
@@ -1,25 +1,25 @@
 /**
- * The closed list of error kinds, and the table from kind to answer.
+ * All error kinds, and how each one is reported.
  *
- * Every error that leaves the system, to a caller or an operator, has one of these kinds.
+ * Every error that is returned to a caller or an operator has one of these kinds.
  */
 
-/** What an answer says about whether the work was done. */
-export type RunClaim = 'notRun' | 'ran' | 'unknown';
+/** What an error response says about whether the request was executed. */
+export type ExecutionClaim = 'notRun' | 'ran' | 'unknown';
 
-/** How one error kind is answered. */
+/** How an error kind is reported to callers and operators. */
 export interface ErrorAnswer {
-  /** HTTP status towards callers and operators. */
+  /** HTTP status of the response. */
   readonly httpStatus: number;
-  /** What the answer claims unless the error itself says otherwise. */
-  readonly ran: RunClaim;
-  /** When to come back; undefined where coming back is of no use. */
+  /** Whether the request was executed, unless the error itself says otherwise. */
+  readonly ran: ExecutionClaim;
+  /** Delay before a retry, in milliseconds; undefined where a retry without a change is useless. */
   readonly retryAfterMs: number | undefined;
   /** What the caller or operator should do. */
   readonly remedy: string;
 }
 
-/** The table from kind to answer. */
+/** How each error kind is reported. */
 export const errorAnswers = {
   badRequest: {
     httpStatus: 400,
@@ -61,20 +61,20 @@
     httpStatus: 409,
     ran: 'notRun',
     retryAfterMs: undefined,
-    remedy: 'Somebody else changed it first: look at what changed, then try again.',
+    remedy: 'Another change was made first: check what changed, then try again.',
   },
   notTried: {
     httpStatus: 409,
     ran: 'notRun',
     retryAfterMs: undefined,
     remedy:
-      'Run acaciacrankctl try with the same file first; promote when an instance of trial acts on it.',
+      'Run acaciacrankctl try with the same file first; promote it once a trial instance acts on it.',
   },
   keyReused: {
     httpStatus: 422,
     ran: 'notRun',
     retryAfterMs: undefined,
-    remedy: 'An idempotency key stands for one request: take a new key for another body.',
+    remedy: 'An idempotency key identifies one request: use a new key for a different body.',
   },
   tooLarge: {
     httpStatus: 413,
@@ -86,19 +86,19 @@
     httpStatus: 429,
     ran: 'notRun',
     retryAfterMs: 2_000,
-    remedy: 'Come back after the stated time; lower classes give way first.',
+    remedy: 'Retry after the stated time; requests of lower priority classes are refused first.',
   },
   notReady: {
     httpStatus: 503,
     ran: 'notRun',
     retryAfterMs: 500,
-    remedy: 'The instance knows no configuration yet: come back, or use another instance.',
+    remedy: 'The instance has no configuration yet: retry later, or use another instance.',
   },
   tokensHeldElsewhere: {
     httpStatus: 429,
     ran: 'notRun',
     retryAfterMs: 1_000,
-    remedy: 'Other instances hold what is left of the budget: come back after the stated time.',
+    remedy: 'Other instances hold the remaining tokens of the budget: retry after the stated time.',
   },
   instanceLeaving: {
     httpStatus: 503,
@@ -110,49 +110,51 @@
     httpStatus: 503,
     ran: 'notRun',
     retryAfterMs: 1_000,
-    remedy: 'No upstream could take the request: come back after the stated time.',
+    remedy: 'No upstream could take the request: retry after the stated time.',
   },
   storeUnavailable: {
     httpStatus: 503,
     ran: 'notRun',
     retryAfterMs: 2_000,
-    remedy: "The platform's store did not answer: come back after the stated time.",
+    remedy: "The platform's store did not answer: retry after the stated time.",
   },
   historyGone: {
     httpStatus: 503,
     ran: 'notRun',
     retryAfterMs: 1_000,
-    remedy: "The platform's store dropped the changes that were asked for: read it again whole.",
+    remedy: "The platform's store no longer has the requested changes: read the full state again.",
   },
   peerUnavailable: {
     httpStatus: 503,
     ran: 'notRun',
     retryAfterMs: 2_000,
-    remedy: 'Another instance of the fleet did not answer: come back after the stated time.',
+    remedy: 'Another instance of the fleet did not answer: retry after the stated time.',
   },
   deadlineExceeded: {
     httpStatus: 504,
     ran: 'notRun',
     retryAfterMs: 2_000,
-    remedy: 'Not begun, or not whole, before its deadline: see whether it ran, then come back.',
+    remedy:
+      'The request was not started or not completed before its deadline: check whether it ran, then retry.',
   },
   upstreamFailed: {
     httpStatus: 502,
     ran: 'unknown',
     retryAfterMs: 1_000,
-    remedy: 'The answer broke off. Retry with the same idempotency key: it is billed once.',
+    remedy:
+      'The response was cut off. Retry with the same idempotency key: the request is billed once.',
   },
   outcomeUnknown: {
     httpStatus: 502,
     ran: 'unknown',
     retryAfterMs: undefined,
-    remedy: 'The call may have run. Look at the service before doing it again under a new key.',
+    remedy: 'The call may have run. Check the service before repeating the call with a new key.',
   },
   cancelled: {
     httpStatus: 499,
     ran: 'unknown',
     retryAfterMs: undefined,
-    remedy: 'The caller went away; what was generated is billed.',
+    remedy: 'The caller disconnected; output generated until then is billed.',
   },
   internal: {
     httpStatus: 500,
@@ -162,5 +164,5 @@
   },
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One of the closed list of error kinds. */
+/** The kind of an error, as callers and operators see it. */
 export type ErrorKind = keyof typeof errorAnswers;
--- a/packages/base/src/formatMetrics/test.ts
+++ b/packages/base/src/formatMetrics/test.ts
@@ -2,7 +2,7 @@
 import { Metrics } from '../Metrics/index.js';
 import { formatMetrics } from './index.js';
 
-test('counters come first, with units, types and labels', (t) => {
+test('metrics have types, base units and labels, counters first', (t) => {
   const metrics = new Metrics({ maxSeries: 1 });
   metrics.record('firstTokenMs', 'one/shift', 100);
   metrics.count('requests', 'one/shift', 2);
@@ -27,8 +27,8 @@
   ]);
 });
 
-// A name with a quote in it broke the whole page for the scraper: all metrics of the instance went
-// missing, which looks like an instance that is down.
+// An unescaped quote in a label value makes the whole page unreadable for the scraper. All metrics of
+// the instance are then missing, as if the instance were down.
 test('label values are escaped', (t) => {
   const metrics = new Metrics();
   metrics.count('refused', 'a"b\\c\nd');
--- a/packages/base/src/hashText/index.ts
+++ b/packages/base/src/hashText/index.ts
@@ -1,7 +1,7 @@
 /**
- * A 32-bit hash of a text (FNV-1a with a final mix), for placement only, never for security.
+ * Returns a 32-bit hash of a text (FNV-1a with a final mix); for placement only, not for security.
  *
- * @param text - what to hash
+ * @param text - the text to hash
  * @returns a whole number in [0, 2^32)
  *
  * @example
@@ -13,7 +13,7 @@
   for (let index = 0; index < text.length; index += 1) {
     hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193);
   }
-  // Short texts that differ in their last letter alone would otherwise land side by side.
+  // Without this mix, short texts that differ only in their last character get nearby hashes.
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35);
   return (hash ^ (hash >>> 16)) >>> 0;
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What every package builds on: ids, clock, errors, settings, logs and metrics.
+ * Shared foundations of all packages: ids, clocks, errors, settings, logging and metrics.
  */
 export type * from './types.js';
 export * from './constants/index.js';
--- a/packages/base/src/parseId/index.ts
+++ b/packages/base/src/parseId/index.ts
@@ -4,15 +4,15 @@
 const idPattern = /^[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}$/;
 
 /**
- * Checks a text and brands it as an id.
+ * Validates a text and brands it as an id.
  *
- * Ids appear in object keys, paths and logs, so only letters, digits and `. _ : @ -` are taken,
- * 128 characters at most.
+ * Ids appear in object keys, paths and logs, so only letters, digits and `. _ : @ -` are allowed,
+ * at most 128 characters, starting with a letter or digit.
  *
  * @param text - the text to check
- * @param what - what the id names, for the error message
+ * @param what - what the id identifies, for the error message
  * @returns the same text, branded
- * @throws RouterError `badRequest` when the text is no id
+ * @throws RouterError `badRequest` when the text is not a valid id
  *
  * @example
  * const budgetId = parseId<BudgetId>('wellington-2026', 'budget');
--- a/packages/base/src/readSettings/index.ts
+++ b/packages/base/src/readSettings/index.ts
@@ -4,13 +4,13 @@
 import { RouterError } from '../RouterError/index.js';
 
 /**
- * Checks a settings text against a schema.
+ * Parses a settings text and validates it against a schema.
  *
  * @param text - YAML
- * @param schema - a strict zod schema; unknown fields are refused
- * @param source - where the text came from, for the message
- * @returns the checked settings
- * @throws RouterError `badSettings`, one line a fault, each with the field's path
+ * @param schema - a strict zod schema, which rejects unknown fields
+ * @param source - where the text came from, for error messages
+ * @returns the validated settings
+ * @throws RouterError `badSettings`, with one line per error, each with the field's path
  *
  * @example
  * parseSettings('port: 80', z.strictObject({ port: z.number() }), 'a.yaml');
@@ -31,12 +31,12 @@
 }
 
 /**
- * Reads a settings file and checks it.
+ * Reads a settings file and validates it.
  *
  * @param path - the file
  * @param schema - a strict zod schema
- * @returns the checked settings
- * @throws RouterError `badSettings` when the file cannot be read or does not fit
+ * @returns the validated settings
+ * @throws RouterError `badSettings` when the file cannot be read or does not match the schema
  *
  * @example
  * const settings = readSettings('instance.yaml', instanceSettingsSchema);
--- a/packages/base/src/readSettings/test.ts
+++ b/packages/base/src/readSettings/test.ts
@@ -4,12 +4,12 @@
 
 const schema = z.strictObject({ listen: z.strictObject({ port: z.number().int() }) });
 
-test('names the path of a bad field and of an unknown one', (t) => {
+test('the error names an invalid field by its path, and an unknown field', (t) => {
   const error = t.throws(() => parseSettings('listen: { port: high, prot: 1 }', schema, 'a.yaml'));
   t.regex(error.message, /a\.yaml: listen\.port: /);
   t.regex(error.message, /prot/);
 });
 
-test('refuses what is not YAML', (t) => {
+test('rejects a text that is not YAML', (t) => {
   t.throws(() => parseSettings('a: [', schema, 'a.yaml'), { message: /is not YAML/ });
 });
--- a/packages/base/src/types.ts
+++ b/packages/base/src/types.ts
@@ -1,28 +1,28 @@
 /**
- * Types that every package shares: branded ids and the shape of random sources.
+ * Types that all packages share: branded ids and the type of random number generators.
  *
- * A branded id is a plain string at run time. The brand only stops one kind of id from being
- * passed where another is meant.
+ * A branded id is a plain string at run time. The brand only prevents one kind of id from being
+ * passed where another is expected.
  */
 
 declare const brand: unique symbol;
 
-/** A string (or number) that the compiler keeps apart from others of the same base type. */
+/** A string (or number) that the compiler distinguishes from others of the same base type. */
 export type Brand<Base, Name extends string> = Base & { readonly [brand]: Name };
 
-/** A machine of this system or of the platform's list. */
+/** An instance of this system, or an entry in the platform's instance list. */
 export type InstanceId = Brand<string, 'InstanceId'>;
-/** A place whose machines fail together. */
+/** A location whose machines can fail together. */
 export type FailureDomainId = Brand<string, 'FailureDomainId'>;
-/** A customer that has prepaid. */
+/** A client account: a customer with prepaid tokens. */
 export type AccountId = Brand<string, 'AccountId'>;
 /** A prepaid budget; belongs to one client account. */
 export type BudgetId = Brand<string, 'BudgetId'>;
 /** One grant of tokens from a budget to an instance. */
 export type GrantId = Brand<string, 'GrantId'>;
-/** A back end: a model engine or a plain service instance. */
+/** A back end that requests are forwarded to: a model engine or a plain service instance. */
 export type UpstreamId = Brand<string, 'UpstreamId'>;
-/** The name under which callers reach a group of upstreams. */
+/** The name by which callers address a group of upstreams. */
 export type ServiceName = Brand<string, 'ServiceName'>;
 /** The name of a priority class, for example `review`. */
 export type ClassName = Brand<string, 'ClassName'>;
@@ -31,5 +31,5 @@
 /** Identifies one attempt to run a request; made by the instance that received it. */
 export type RequestId = Brand<string, 'RequestId'>;
 
-/** Yields numbers in [0, 1). */
+/** Returns the next random number, in [0, 1). */
 export type Random = () => number;
--- a/packages/base/src/withTimeout/index.ts
+++ b/packages/base/src/withTimeout/index.ts
@@ -4,30 +4,30 @@
 
 /** Options of {@link withTimeout}. */
 export interface WithTimeoutOptions {
-  /** The kind of the error when time runs out. */
+  /** The kind of the error that is thrown on timeout. */
   kind: ErrorKind;
-  /** What was waited for, for the message. */
+  /** What the work does, for the error message, for example `reading a page`. */
   what: string;
-  /** Aborts the work from outside as well. */
+  /** A signal that also aborts the work. */
   signal?: AbortSignal;
   /**
-   * How long work that keeps making progress may take in all, in milliseconds; the limit by default,
-   * so that progress extends nothing.
+   * Maximum total time for work that keeps making progress, in milliseconds. It equals the timeout by
+   * default, so that progress does not extend the time.
    */
   longestMs?: number;
 }
 
 /**
- * Runs work with a bound on its time; the work's signal is aborted when time runs out.
+ * Runs work with a timeout; the signal passed to the work is aborted on timeout.
  *
- * Work that calls `onProgress` has the whole limit again from then on, up to `longestMs` in all.
+ * Each call of `onProgress` restarts the timeout, up to `longestMs` in total.
  *
  * @param clock - measures the time
- * @param limitMs - how long the work may take without progress
- * @param work - what to run
- * @param options - the error's kind and words
- * @returns what the work returns
- * @throws RouterError of the given kind when time runs out first
+ * @param timeoutMs - how long the work may take without progress, in milliseconds
+ * @param work - the work to run; it should stop when its signal is aborted
+ * @param options - the error's kind and text, an outer signal and the maximum total time
+ * @returns the result of the work
+ * @throws RouterError of the given kind on timeout, and whatever `work` rejects with
  *
  * @example
  * const page = await withTimeout(clock, 2_000, (signal) => fetchPage(signal), {
@@ -37,34 +37,34 @@
  */
 export async function withTimeout<Value>(
   clock: Clock,
-  limitMs: number,
+  timeoutMs: number,
   work: (signal: AbortSignal, onProgress: () => void) => Promise<Value>,
   options: WithTimeoutOptions,
 ): Promise<Value> {
-  const abort = new AbortController();
-  const latestMs = clock.monotonicMs() + (options.longestMs ?? limitMs);
+  const controller = new AbortController();
+  const deadlineMs = clock.monotonicMs() + (options.longestMs ?? timeoutMs);
   const onOuterAbort = () => {
-    abort.abort();
+    controller.abort();
   };
   options.signal?.addEventListener('abort', onOuterAbort, { once: true });
   let timer: Disposable | undefined;
-  let extend: () => void = () => undefined;
+  let restartTimer: () => void = () => undefined;
   const timeout = new Promise<never>((_, reject) => {
     const onTimeout = () => {
-      abort.abort();
-      reject(new RouterError(options.kind, `${options.what} took longer than ${limitMs} ms`));
+      controller.abort();
+      reject(new RouterError(options.kind, `${options.what} took longer than ${timeoutMs} ms`));
     };
-    extend = () => {
+    restartTimer = () => {
       timer?.[Symbol.dispose]();
-      timer = clock.schedule(Math.min(limitMs, latestMs - clock.monotonicMs()), onTimeout);
+      timer = clock.schedule(Math.min(timeoutMs, deadlineMs - clock.monotonicMs()), onTimeout);
     };
-    extend();
+    restartTimer();
   });
   const onProgress = () => {
-    if (!abort.signal.aborted) extend();
+    if (!controller.signal.aborted) restartTimer();
   };
   try {
-    return await Promise.race([work(abort.signal, onProgress), timeout]);
+    return await Promise.race([work(controller.signal, onProgress), timeout]);
   } finally {
     timer?.[Symbol.dispose]();
     options.signal?.removeEventListener('abort', onOuterAbort);
--- a/packages/base/src/withTimeout/test.ts
+++ b/packages/base/src/withTimeout/test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '../ManualClock/index.js';
 import { withTimeout } from './index.js';
 
-test('a connection that never answers ends with the stated kind and aborts the work', async (t) => {
+test('work that never settles is aborted on timeout and rejected with the given kind', async (t) => {
   const clock = new ManualClock();
   let aborted = false;
   const work = withTimeout(
@@ -21,16 +21,17 @@
   t.is(clock.pendingTimers, 0);
 });
 
-// A large answer comes over a narrow link for longer than a call may take, byte by byte. Given up while
-// it comes, the call is made again and never ends. One that trickles for ever is still given up.
-test('work that makes progress has its limit again, up to a bound in all', async (t) => {
+// A large response over a slow link can take longer than the timeout while bytes keep arriving. If it
+// were aborted, every retry would be aborted too and the call would never succeed. A response that
+// trickles in forever must still time out.
+test('progress restarts the timeout, up to a maximum total time', async (t) => {
   const clock = new ManualClock();
-  let advanceWork: () => void = () => undefined;
+  let reportProgress: () => void = () => undefined;
   const work = withTimeout(
     clock,
     100,
     (_signal, onProgress) => {
-      advanceWork = onProgress;
+      reportProgress = onProgress;
       return new Promise<never>(() => undefined);
     },
     { kind: 'storeUnavailable', what: 'reading', longestMs: 250 },
@@ -40,9 +41,9 @@
     isEnded = true;
   });
   await clock.advance(90);
-  advanceWork();
+  reportProgress();
   await clock.advance(90);
-  advanceWork();
+  reportProgress();
   await clock.advance(60);
   t.false(isEnded);
   await clock.advance(10);
