--- a/packages/ctl/src/HttpOperatorPorts/index.ts
+++ b/packages/ctl/src/HttpOperatorPorts/index.ts
@@ -8,9 +8,9 @@
 /** Options of {@link HttpOperatorPorts}. */
 export interface HttpOperatorPortsOptions {
   clock: Clock;
-  /** The operators' key; undefined when none was given. */
+  /** The key that operators authenticate with; undefined when none was given. */
   key: string | undefined;
-  /** How long an instance may take to answer, in milliseconds. */
+  /** Timeout of a request to an instance, in milliseconds; 2,000 by default. */
   timeoutMs?: number;
 }
 
@@ -23,7 +23,7 @@
   configurationProblem: z.object({ message: z.string() }).nullish(),
 });
 
-/** Operators' ports over HTTP, with the operators' key. */
+/** Calls the operators' ports of instances over HTTP, authenticated with the operators' key. */
 export class HttpOperatorPorts extends OperatorPorts {
   readonly #options: HttpOperatorPortsOptions;
 
@@ -42,18 +42,26 @@
 
   async #ask(entry: ListedInstance, method: 'GET' | 'POST', path: string): Promise<InstanceAnswer> {
     if (entry.operatorsUrl === undefined) {
-      throw unknown("the platform's list does not say where its operators' port is", 'notRun');
+      throw createUnavailableError(
+        "the platform's list does not say where its operators' port is",
+        'notRun',
+      );
     }
     const { statusCode, text } = await this.#send(method, `${entry.operatorsUrl}${path}`);
-    if (statusCode === 401) throw unknown("it does not take the operators' key", 'notRun');
-    if (statusCode !== 200) throw unknown(`it answered ${statusCode}`, 'notRun');
-    return answerOf(text);
+    if (statusCode === 401)
+      throw createUnavailableError("it rejected the operators' key", 'notRun');
+    if (statusCode !== 200)
+      throw createUnavailableError(`it answered with HTTP status ${statusCode}`, 'notRun');
+    return parseAnswer(text);
   }
 
   async #send(method: 'GET' | 'POST', url: string) {
     const { clock, key, timeoutMs = 2_000 } = this.#options;
     if (key === undefined) {
-      throw unknown("no operators' key: use --key-file or ACACIACRANK_OPERATORS_KEY", 'notRun');
+      throw createUnavailableError(
+        "no operators' key: use --key-file or ACACIACRANK_OPERATORS_KEY",
+        'notRun',
+      );
     }
     const send = async (signal: AbortSignal) => {
       const headers = { authorization: `Bearer ${key}` };
@@ -61,21 +69,21 @@
       return { statusCode, text: await body.text() };
     };
     try {
-      const limit = { kind: 'upstreamUnavailable', what: `${method} ${url}` } as const;
-      return await withTimeout(clock, timeoutMs, send, limit);
+      const timeoutOptions = { kind: 'upstreamUnavailable', what: `${method} ${url}` } as const;
+      return await withTimeout(clock, timeoutMs, send, timeoutOptions);
     } catch (error) {
-      throw unknown(`it did not answer: ${(error as Error).message}`, 'unknown');
+      throw createUnavailableError(`it did not answer: ${(error as Error).message}`, 'unknown');
     }
   }
 }
 
-function unknown(message: string, ran: 'notRun' | 'unknown'): RouterError {
+function createUnavailableError(message: string, ran: 'notRun' | 'unknown'): RouterError {
   return new RouterError('upstreamUnavailable', message, { ran });
 }
 
-function answerOf(text: string): InstanceAnswer {
+function parseAnswer(text: string): InstanceAnswer {
   const parsed = answerSchema.safeParse(parseJson(text));
-  if (!parsed.success) throw unknown('its answer does not parse', 'unknown');
+  if (!parsed.success) throw createUnavailableError('its answer is not a valid status', 'unknown');
   const { isAccepting, openRequests, configuration, configurationProblem } = parsed.data;
   return {
     isAccepting,
--- a/packages/ctl/src/OperatorPorts/index.ts
+++ b/packages/ctl/src/OperatorPorts/index.ts
@@ -1,19 +1,19 @@
 import type { ListedInstance } from '@acaciacrank/store';
 import type { InstanceAnswer } from '../types.js';
 
-/** The operators' ports of instances. */
+/** Client of the operators' ports, the administration endpoints of instances. */
 export abstract class OperatorPorts {
   /**
-   * What an instance says of itself.
+   * Asks an instance for its status.
    *
-   * @throws RouterError `upstreamUnavailable` when that cannot be known; the message says why
+   * @throws RouterError `upstreamUnavailable` when the status is unknown; the message says why
    */
   abstract status(entry: ListedInstance): Promise<InstanceAnswer>;
 
   /**
-   * Begins a planned stop.
+   * Begins a planned stop of an instance, which finishes its open requests first.
    *
-   * @throws RouterError `upstreamUnavailable`; the stop may have begun if `ran` is `unknown`
+   * @throws RouterError `upstreamUnavailable`; if its `ran` is `unknown`, the stop may have begun
    */
   abstract drain(entry: ListedInstance): Promise<InstanceAnswer>;
 }
--- a/packages/ctl/src/_lib/readEnvironment/index.ts
+++ b/packages/ctl/src/_lib/readEnvironment/index.ts
@@ -14,14 +14,14 @@
 import { readFileSync } from 'node:fs';
 import type { CommandContext } from '../../types.js';
 
-/** An environment as the store has it. */
+/** An environment's accepted configuration, with the part of the store that holds it. */
 export interface StoredEnvironment {
   readonly store: ObjectStore;
   readonly manifest: Manifest;
   readonly index: EnvironmentIndex;
 }
 
-/** Reads an environment whole. */
+/** Reads the full accepted configuration of an environment. */
 export async function readEnvironment(
   context: CommandContext,
   environment: string,
@@ -33,8 +33,8 @@
   return { store, manifest, index: new EnvironmentIndex(compiled) };
 }
 
-/** Reads what is in force; undefined when nothing was accepted yet. */
-export async function readInForce(
+/** Reads the manifest of the accepted version; undefined when no document was accepted yet. */
+export async function readCurrentManifest(
   context: CommandContext,
   environment: string,
 ): Promise<Manifest | undefined> {
@@ -46,20 +46,28 @@
   }
 }
 
-/** Finds a budget by its id, which is unique in an environment. */
+/**
+ * Finds a budget by its id, which is unique within an environment.
+ *
+ * @throws RouterError `notFound`, or `badRequest` when the id is not valid
+ */
 export function findBudget(index: EnvironmentIndex, id: string): BudgetEntry {
   const budgetId = parseId<BudgetId>(id, 'budget');
   for (const budget of index.budgets()) if (budget.budgetId === budgetId) return budget;
   throw new RouterError('notFound', `no client account has the budget ${budgetId}`);
 }
 
-/** A document file, checked. */
+/** The text of a document file and the document parsed from it. */
 export interface DocumentFile {
   readonly text: string;
   readonly document: EnvironmentDocument;
 }
 
-/** Reads and checks a document file. */
+/**
+ * Reads, parses and validates a document file.
+ *
+ * @throws RouterError `badRequest` when the file cannot be read, `badDocument` when it is not valid
+ */
 export function readDocumentFile(path: string): DocumentFile {
   let text: string;
   try {
--- a/packages/ctl/src/bin.ts
+++ b/packages/ctl/src/bin.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 /**
- * `acaciacrankctl`: what operators do.
+ * `acaciacrankctl`, the command-line tool for operators.
  */
 import { describeError, RouterError } from '@acaciacrank/base';
 import { cac } from 'cac';
-import { createContext, variables, type ContextOptions } from './createContext/index.js';
+import { createContext, environmentVariables, type ContextOptions } from './createContext/index.js';
 import { exitCodeHelp, exitCodeOf, exitCodes } from './exitCodes/index.js';
 import { runBudget } from './runBudget/index.js';
 import { runCheck } from './runCheck/index.js';
@@ -26,108 +26,127 @@
   readonly id?: string | number;
 }
 
-function print(options: Options, result: CommandResult): void {
+function printResult(options: Options, result: CommandResult): void {
   const text = options.json === true ? JSON.stringify(result.data) : result.text;
   process.stdout.write(`${text}\n`);
   if (!result.isCertain) process.exitCode = exitCodes.incomplete;
 }
 
-function environmentOf({ environment }: Options): string {
+function requireEnvironment({ environment }: Options): string {
   if (environment !== undefined) return String(environment);
   throw new RouterError('badRequest', '--environment NAME is missing, for example kapiti');
 }
 
-function numberOf(value: unknown, name: string): number | undefined {
+function parseWholeNumber(value: unknown, name: string): number | undefined {
   if (value === undefined) return undefined;
   const number = Number(value);
   if (Number.isSafeInteger(number) && number >= 0) return number;
   throw new RouterError('badRequest', `${name} takes a whole number, not ${String(value)}`);
 }
 
-function contextOf(options: Options) {
-  return createContext({ ...options, waitMs: numberOf(options.waitMs, '--wait-ms') });
+function createCommandContext(options: Options) {
+  return createContext({ ...options, waitMs: parseWholeNumber(options.waitMs, '--wait-ms') });
 }
 
-function expectedOf(options: Options) {
-  return { expectedVersion: numberOf(options.expectVersion, '--expect-version') };
+function parseExpectedVersion(options: Options) {
+  return { expectedVersion: parseWholeNumber(options.expectVersion, '--expect-version') };
 }
 
 function createCli() {
   const cli = cac('acaciacrankctl');
   cli.option('--json', 'Print one JSON object');
-  cli.option('--platform <url>', `http://IP:PORT of the platform, or ${variables.platform}`);
-  cli.option('--key-file <file>', `Holds the operators' key, or ${variables.operatorsKey}`);
-  cli.option('--wait-ms <ms>', 'How long to wait until instances act on a change (10000)');
+  cli.option(
+    '--platform <url>',
+    `http://IP:PORT of the platform, or ${environmentVariables.platform}`,
+  );
+  cli.option(
+    '--key-file <file>',
+    `File with the operators' key, or ${environmentVariables.operatorsKey}`,
+  );
+  cli.option('--wait-ms <ms>', 'How long to wait until instances act on a change (default: 10000)');
   cli
     .command('check <file>', 'Check a document; changes nothing')
     .action((file: string, options: Options) => {
-      print(options, runCheck(file));
+      printResult(options, runCheck(file));
     });
   cli
-    .command('diff <file>', 'What a document would change in production; changes nothing')
+    .command('diff <file>', 'Show what a document would change in production; changes nothing')
     .action(async (file: string, options: Options) => {
-      print(options, await runDiff(contextOf(options), file));
+      printResult(options, await runDiff(createCommandContext(options), file));
     });
   cli
     .command('try <file>', 'Put a document in force in the trial environment')
     .option('--expect-version <n>', 'Refuse when trial has another version')
     .action(async (file: string, options: Options) => {
-      print(options, await runTry(contextOf(options), file, expectedOf(options)));
+      printResult(
+        options,
+        await runTry(createCommandContext(options), file, parseExpectedVersion(options)),
+      );
     });
   cli
-    .command('promote <file>', 'Put the bytes that trial ran in force in production')
+    .command(
+      'promote <file>',
+      'Put a document in force in production after trial has run the same bytes',
+    )
     .option('--expect-version <n>', 'Refuse when production has another version')
     .action(async (file: string, options: Options) => {
-      print(options, await runPromote(contextOf(options), file, expectedOf(options)));
+      printResult(
+        options,
+        await runPromote(createCommandContext(options), file, parseExpectedVersion(options)),
+      );
     });
   cli
     .command('rollback', 'Put an earlier version in force again, as a new version')
     .option('--environment <name>', 'The environment, for example kapiti or kapiti.trial')
-    .option('--to <version>', 'The version to go back to; the one before by default')
+    .option('--to <version>', 'The version to go back to; the previous one by default')
     .action(async (options: Options) => {
-      const environment = environmentOf(options);
-      print(
+      const environment = requireEnvironment(options);
+      printResult(
         options,
-        await runRollback(contextOf(options), environment, numberOf(options.to, '--to')),
+        await runRollback(
+          createCommandContext(options),
+          environment,
+          parseWholeNumber(options.to, '--to'),
+        ),
       );
     });
   cli
-    .command('status', 'What is accepted, which instances act on it, and how budgets stand')
+    .command('status', 'Show the accepted version, which instances act on it, and the budgets')
     .option('--environment <name>', 'The environment')
     .action(async (options: Options) => {
-      const environment = environmentOf(options);
-      print(options, await runStatus(contextOf(options), environment));
+      const environment = requireEnvironment(options);
+      printResult(options, await runStatus(createCommandContext(options), environment));
     });
   cli
-    .command('budget <budget>', 'How one budget stands')
+    .command('budget <budget>', 'Show one budget')
     .option('--environment <name>', 'The environment')
     .action(async (budget: string, options: Options) => {
-      const environment = environmentOf(options);
-      print(options, await runBudget(contextOf(options), environment, budget));
+      const environment = requireEnvironment(options);
+      printResult(options, await runBudget(createCommandContext(options), environment, budget));
     });
   cli
     .command('top-up <budget> <tokens>', 'Add prepaid tokens to a budget')
     .option('--environment <name>', 'The environment')
-    .option('--id <id>', 'Names this top-up; the same id again changes nothing')
+    .option('--id <id>', 'Identifies this top-up; repeating it with the same id changes nothing')
     .action(async (budgetId: string, amount: string, options: Options) => {
-      const environment = environmentOf(options);
+      const environment = requireEnvironment(options);
       if (options.id === undefined) throw new RouterError('badRequest', '--id ID is missing');
       const topUpId = String(options.id);
-      const tokens = numberOf(amount, 'TOKENS') ?? 0;
-      const context = contextOf(options);
-      print(options, await runTopUp(context, { environment, budgetId, topUpId, tokens }));
+      const tokens = parseWholeNumber(amount, 'TOKENS') ?? 0;
+      const context = createCommandContext(options);
+      printResult(options, await runTopUp(context, { environment, budgetId, topUpId, tokens }));
     });
   cli
     .command('drain <instance>', 'Begin a planned stop of one instance')
     .option('--environment <name>', 'The environment')
     .action(async (instance: string, options: Options) => {
-      const environment = environmentOf(options);
-      print(options, await runDrain(contextOf(options), environment, instance));
+      const environment = requireEnvironment(options);
+      printResult(options, await runDrain(createCommandContext(options), environment, instance));
     });
   cli
-    .command('explain <kind>', 'What an error kind means and what to do')
+    .command('explain <kind>', 'Explain what an error kind means and what to do')
     .action((kind: string, options: Options) => {
-      print(options, runExplain(kind));
+      printResult(options, runExplain(kind));
     });
   cli.help((sections) => [
     ...sections,
@@ -147,19 +166,21 @@
   await (cli.runMatchedCommand() as Promise<void> | undefined);
 }
 
-function fail(thrown: unknown): never {
-  const isUsage = thrown instanceof Error && thrown.name === 'CACError';
-  const error = isUsage ? new RouterError('badRequest', thrown.message) : describeError(thrown);
+function exitWithError(thrown: unknown): never {
+  const isUsageError = thrown instanceof Error && thrown.name === 'CACError';
+  const error = isUsageError
+    ? new RouterError('badRequest', thrown.message)
+    : describeError(thrown);
   const { kind, message, ran } = error;
   if (process.argv.includes('--json')) {
     process.stdout.write(`${JSON.stringify({ error: { kind, message, ran } })}\n`);
   }
   const next =
     ran === 'unknown'
-      ? 'Next: acaciacrankctl status; doing the same again is safe.'
+      ? 'Next: acaciacrankctl status; repeating the same command is safe.'
       : `Nothing was changed.\nNext: ${error.remedy}`;
   process.stderr.write(`acaciacrankctl: ${kind}: ${message}\n${next}\n`);
   process.exit(exitCodeOf(error));
 }
 
-main().then(() => process.exit(), fail);
+main().then(() => process.exit(), exitWithError);
--- a/packages/ctl/src/createContext/index.ts
+++ b/packages/ctl/src/createContext/index.ts
@@ -5,16 +5,16 @@
 import { HttpOperatorPorts } from '../HttpOperatorPorts/index.js';
 import type { CommandContext } from '../types.js';
 
-/** Environment variables that stand in for options. */
-export const variables = {
+/** Environment variables that are used where the options are not given. */
+export const environmentVariables = {
   platform: 'ACACIACRANK_PLATFORM',
   operatorsKey: 'ACACIACRANK_OPERATORS_KEY',
 } as const;
 
-/** How long commands wait for instances by default, in milliseconds. */
+/** Default time that commands wait for instances to act on a change, in milliseconds. */
 export const defaultWaitMs = 10_000;
 
-/** What the command line says of the context. */
+/** Command-line options that determine the context. */
 export interface ContextOptions {
   readonly platform?: string | undefined;
   readonly keyFile?: string | undefined;
@@ -22,24 +22,25 @@
 }
 
 /**
- * Makes the context of the real platform.
+ * Creates the context of the commands for a running platform.
  *
- * The operators' key comes from a file or a variable, never from an argument: arguments stand in
- * process lists and in the shell's history.
+ * The operators' key is read from a file or an environment variable, never from an argument:
+ * arguments are visible in process lists and in the shell's history.
  *
- * @param options - from the command line
+ * @param options - options from the command line
  * @returns the context
- * @throws RouterError `badRequest`
+ * @throws RouterError `badRequest` when the platform's URL is missing or malformed, or when the key
+ * file cannot be read
  *
  * @example
  * const context = createContext({ platform: 'http://127.0.0.1:7000' });
  */
 export function createContext(options: ContextOptions): CommandContext {
-  const url = options.platform ?? process.env[variables.platform];
+  const url = options.platform ?? process.env[environmentVariables.platform];
   if (url === undefined || !/^https?:\/\/\S+$/.test(url)) {
     throw new RouterError(
       'badRequest',
-      `where the platform is is missing: write --platform http://IP:PORT or set ${variables.platform}`,
+      `the platform's URL is missing or malformed: use --platform http://IP:PORT or set ${environmentVariables.platform}`,
     );
   }
   const clock = new SystemClock();
@@ -54,7 +55,7 @@
 }
 
 function readKey(keyFile: string | undefined): string | undefined {
-  if (keyFile === undefined) return process.env[variables.operatorsKey];
+  if (keyFile === undefined) return process.env[environmentVariables.operatorsKey];
   try {
     return readFileSync(keyFile, 'utf8').trim();
   } catch (error) {
--- a/packages/ctl/src/exitCodes/index.ts
+++ b/packages/ctl/src/exitCodes/index.ts
@@ -1,6 +1,6 @@
 import type { RouterError } from '@acaciacrank/base';
 
-/** Exit codes of the program, as its help states them. */
+/** Exit codes of the program; {@link exitCodeHelp} describes them. */
 export const exitCodes = {
   ok: 0,
   failed: 1,
@@ -11,19 +11,19 @@
   incomplete: 6,
 } as const;
 
-/** What the help says of exit codes. */
+/** Descriptions of the exit codes for the help text. */
 export const exitCodeHelp = [
-  '0  done, and everything that was said is known',
+  '0  done, and nothing in the result is unknown',
   '1  failed; nothing was changed unless the message says so',
   '2  the command or the document is wrong',
-  '3  refused: somebody else changed it first, or trial has not run these bytes',
+  '3  refused: another change was made first, or trial has not run these bytes',
   '4  the store or the instance did not answer; nothing was changed',
   '5  unknown: the answer was lost, the change may be in force; run status',
   '6  done, but not every instance is known to act on it; run status',
 ];
 
 /**
- * The exit code that an error ends the program with.
+ * Returns the exit code for an error.
  *
  * @example
  * exitCodeOf(new RouterError('conflict', 'version 8 is in force'));
--- a/packages/ctl/src/index.ts
+++ b/packages/ctl/src/index.ts
@@ -1,10 +1,10 @@
 /**
- * The operators' commands.
+ * The commands of `acaciacrankctl`, the command-line tool for operators.
  */
 export type * from './types.js';
 export * from './OperatorPorts/index.js';
 export * from './HttpOperatorPorts/index.js';
-export * from './askInstances/index.js';
+export * from './queryInstances/index.js';
 export * from './createContext/index.js';
 export * from './exitCodes/index.js';
 export * from './runCheck/index.js';
--- a/packages/ctl/src/askInstances/index.ts
+++ b/packages/ctl/src/queryInstances/index.ts
@@ -2,46 +2,47 @@
 import type { ListedInstance } from '@acaciacrank/store';
 import type { CommandContext, FleetView, InstanceView } from '../types.js';
 
-/** How many instances are asked at once. */
-const maxAskedAtOnce = 32;
+/** Maximum number of instances to query at the same time. */
+const maxConcurrentQueries = 32;
 
 /**
- * Asks each listed instance of an environment what it acts on.
+ * Queries the status of each listed instance of an environment.
  *
- * What is not known stays unknown: an instance that does not answer is not taken to be fine, nor a
- * list that could not be read to be empty.
+ * Does not throw: an instance that does not answer is reported as unknown rather than healthy, and
+ * an instance list that cannot be read as unknown rather than empty.
  *
- * @param context - the platform and the operators' ports
- * @param environment - whose instances
- * @returns what is known of each
+ * @param context - the instance list and the client of the operators' ports
+ * @param environment - the environment of the instances
+ * @returns what is known about each instance
  *
  * @example
  * const { instances } = await askInstances(context, 'kapiti');
  */
-export async function askInstances(
+export async function queryInstances(
   context: CommandContext,
   environment: string,
 ): Promise<FleetView> {
   let entries: readonly ListedInstance[];
   try {
-    entries = await listEntries(context, environment);
+    entries = await listEntryInstances(context, environment);
   } catch (thrown) {
     return { instances: [], listProblem: describeError(thrown).message };
   }
   const instances: InstanceView[] = [];
-  for (let at = 0; at < entries.length; at += maxAskedAtOnce) {
-    const some = entries.slice(at, at + maxAskedAtOnce);
-    instances.push(...(await Promise.all(some.map((entry) => askOne(context, entry)))));
+  for (let at = 0; at < entries.length; at += maxConcurrentQueries) {
+    const batch = entries.slice(at, at + maxConcurrentQueries);
+    instances.push(...(await Promise.all(batch.map((entry) => queryInstance(context, entry)))));
   }
   return { instances, listProblem: undefined };
 }
 
 /**
- * The listed entry instances of an environment, with those that the list puts in none.
+ * Returns the listed instances with role `entry` of an environment, sorted by id, including those
+ * that are listed without an environment.
  *
  * @throws RouterError `storeUnavailable`
  */
-export async function listEntries(
+export async function listEntryInstances(
   { list }: CommandContext,
   environment: string,
 ): Promise<ListedInstance[]> {
@@ -52,7 +53,10 @@
     .sort((a, b) => a.id.localeCompare(b.id));
 }
 
-async function askOne({ ports }: CommandContext, entry: ListedInstance): Promise<InstanceView> {
+async function queryInstance(
+  { ports }: CommandContext,
+  entry: ListedInstance,
+): Promise<InstanceView> {
   try {
     return { entry, answer: await ports.status(entry), reason: undefined };
   } catch (thrown) {
--- a/packages/ctl/src/runBudget/index.ts
+++ b/packages/ctl/src/runBudget/index.ts
@@ -4,7 +4,7 @@
 import type { CommandContext, CommandResult } from '../types.js';
 
 /**
- * Says how one budget stands.
+ * Shows the tokens of one budget: prepaid, spent, set aside for instances and free.
  *
  * @throws RouterError `notFound` or `storeUnavailable`
  *
@@ -23,7 +23,7 @@
     isCertain: true,
     text: [
       `${describeBudget(status)} (client account ${budget.accountId}).`,
-      'Requests under way are in what is set aside; what they do not use comes back.',
+      'Tokens set aside include those of requests under way; unused ones are returned.',
       `Next: to add tokens: acaciacrankctl top-up ${budgetId} TOKENS --id INVOICE --environment ${environment}`,
     ].join('\n'),
     data: { environment, accountId: budget.accountId, ...status },
--- a/packages/ctl/src/runCheck/index.ts
+++ b/packages/ctl/src/runCheck/index.ts
@@ -4,9 +4,9 @@
 import type { CommandResult } from '../types.js';
 
 /**
- * Checks a document without the platform.
+ * Validates a document file without contacting the platform.
  *
- * @throws RouterError `badDocument`
+ * @throws RouterError `badDocument`, or `badRequest` when the file cannot be read
  *
  * @example
  * runCheck('examples/kapiti.yaml').data;
@@ -21,7 +21,7 @@
   return {
     isCertain: true,
     text: [
-      `${path} is a good document for ${environment}: ${accounts.length} client accounts, ${budgets} budgets, ${services.length} services, ${classes.length} classes (digest ${digest.slice(0, 12)}).`,
+      `${path} is a valid document for ${environment}: ${accounts.length} client accounts, ${budgets} budgets, ${services.length} services, ${classes.length} classes (digest ${digest.slice(0, 12)}).`,
       'Nothing was changed anywhere.',
       `Next: acaciacrankctl diff ${path}, then acaciacrankctl try ${path}`,
     ].join('\n'),
--- a/packages/ctl/src/runDiff/index.ts
+++ b/packages/ctl/src/runDiff/index.ts
@@ -13,11 +13,11 @@
   type ConfigurationChange,
   type EnvironmentDocument,
 } from '@acaciacrank/operators';
-import { readDocumentFile, readInForce } from '../_lib/readEnvironment/index.js';
+import { readDocumentFile, readCurrentManifest } from '../_lib/readEnvironment/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
 /**
- * Compares a document with what is in force in production.
+ * Compares a document with the accepted version in production.
  *
  * @throws RouterError `badDocument` or `storeUnavailable`
  *
@@ -27,45 +27,59 @@
 export async function runDiff(context: CommandContext, path: string): Promise<CommandResult> {
   const { text, document } = readDocumentFile(path);
   const { environment } = document;
-  const inForce = await readInForce(context, environment);
+  const inForce = await readCurrentManifest(context, environment);
   const changes = await diffDocument(context, document, environment);
-  const trial = trialEnvironmentOf(environment);
+  const trialEnvironment = trialEnvironmentOf(environment);
   const digest = digestText(text);
-  const trialRun = await readTrialRun(environmentStore(context.store, trial), trial, digest);
-  const tried =
+  const trialRun = await readTrialRun(
+    environmentStore(context.store, trialEnvironment),
+    trialEnvironment,
+    digest,
+  );
+  const trialSummary =
     trialRun === undefined
       ? `Trial has not run these bytes.\nNext: acaciacrankctl try ${path}`
-      : `Trial has run these bytes (version ${trialRun.version} of ${trial}).\nNext: acaciacrankctl promote ${path}`;
+      : `Trial has run these bytes (version ${trialRun.version} of ${trialEnvironment}).\nNext: acaciacrankctl promote ${path}`;
   const heading =
     inForce === undefined
       ? `Nothing is in force in ${environment} yet; all of ${path} would be new.`
       : `${path} against version ${inForce.version} of ${environment}: ${changes.length} changes.`;
   return {
     isCertain: true,
-    text: [heading, ...describeChanges(changes), 'Nothing was changed anywhere.', tried].join('\n'),
+    text: [
+      heading,
+      ...describeChanges(changes),
+      'Nothing was changed anywhere.',
+      trialSummary,
+    ].join('\n'),
     data: { environment, version: inForce?.version ?? 0, changes, isTried: trialRun !== undefined },
   };
 }
 
-/** What a document changes against what is in force in an environment. */
+/** Returns the changes that a document makes to the accepted configuration of an environment. */
 export async function diffDocument(
   context: CommandContext,
   document: EnvironmentDocument,
   environment: string,
 ): Promise<ConfigurationChange[]> {
-  const inForce = await readInForce(context, environment);
+  const inForce = await readCurrentManifest(context, environment);
   const compiled = compileEnvironment(document);
-  const texts = new Map([...objectsOf(compiled)].map(({ digest, text }) => [digest, text]));
+  const textsByDigest = new Map([...objectsOf(compiled)].map(({ digest, text }) => [digest, text]));
   const store = environmentStore(context.store, environment);
   const sources = [
-    new MemoryConfigurationObjects(texts),
+    new MemoryConfigurationObjects(textsByDigest),
     new StoreConfigurationObjects(store, environment),
   ];
   const source = new FailoverConfigurationObjects({ sources, clock: context.clock });
   return diffConfigurations(source, inForce?.root, compiled.root);
 }
 
-/** The same for people, where it only accompanies another command: a failure is told, not thrown. */
+/**
+ * Describes the changes that a document makes, as an addition to the output of another command.
+ *
+ * A {@link RouterError} is reported in the text instead of thrown, so that it does not fail that
+ * command.
+ */
 export async function describeDocumentChanges(
   context: CommandContext,
   document: EnvironmentDocument,
--- a/packages/ctl/src/runDrain/index.ts
+++ b/packages/ctl/src/runDrain/index.ts
@@ -1,12 +1,12 @@
 import { RouterError } from '@acaciacrank/base';
-import { listEntries } from '../askInstances/index.js';
+import { listEntryInstances } from '../queryInstances/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
 /**
  * Begins a planned stop of one instance.
  *
- * @throws RouterError `notFound` when the list does not have it, `upstreamUnavailable` whose claim is
- * `unknown` when the answer was lost
+ * @throws RouterError `notFound` when the instance is not listed, `storeUnavailable` when the list
+ * cannot be read, or `upstreamUnavailable`, with `ran` set to `unknown` when the answer was lost
  *
  * @example
  * await runDrain(context, 'kapiti', 'entry-2');
@@ -16,7 +16,7 @@
   environment: string,
   instanceId: string,
 ): Promise<CommandResult> {
-  const entries = await listEntries(context, environment);
+  const entries = await listEntryInstances(context, environment);
   const entry = entries.find(({ id }) => id === instanceId);
   if (entry === undefined) {
     const ids = entries.map(({ id }) => id).join(', ') || 'none';
@@ -29,7 +29,7 @@
   return {
     isCertain: true,
     text: [
-      `${instanceId} is leaving: callers are no longer sent to it, and ${answer.openRequests} requests under way are finished before it ends.`,
+      `${instanceId} is leaving: it gets no new callers, and ${answer.openRequests} requests under way are finished before it ends.`,
       `Next: acaciacrankctl status --environment ${environment}, until it is gone from the list; then replace it`,
     ].join('\n'),
     data: { environment, instanceId, ...answer },
--- a/packages/ctl/src/runExplain/index.ts
+++ b/packages/ctl/src/runExplain/index.ts
@@ -1,16 +1,16 @@
 import { errorAnswers, RouterError, type ErrorAnswer } from '@acaciacrank/base';
 import type { CommandResult } from '../types.js';
 
-const claims = {
+const executionTexts = {
   notRun: 'The work was not run, unless the answer itself says otherwise.',
   ran: 'The work was run.',
   unknown: 'Whether the work was run is unknown, unless the answer itself says otherwise.',
 } as const;
 
 /**
- * Explains an error kind.
+ * Explains an error kind: its HTTP status, whether the request was executed, and what to do.
  *
- * @throws RouterError `notFound` with the list of kinds
+ * @throws RouterError `notFound`, with the list of kinds, when there is no such kind
  *
  * @example
  * runExplain('budgetExhausted').data.httpStatus;
@@ -24,13 +24,15 @@
     throw new RouterError('notFound', `there is no error kind ${kind}; kinds are: ${kinds}`);
   }
   const { httpStatus, ran, retryAfterMs, remedy } = answer;
-  const retry =
+  const retryText =
     retryAfterMs === undefined
-      ? 'Coming back without a change is of no use.'
-      : `Callers may come back after ${retryAfterMs} ms.`;
+      ? 'Retrying without a change is of no use.'
+      : `Callers may retry after ${retryAfterMs} ms.`;
   return {
     isCertain: true,
-    text: [`${kind} (HTTP ${httpStatus})`, claims[ran], retry, `Next: ${remedy}`].join('\n'),
+    text: [`${kind} (HTTP ${httpStatus})`, executionTexts[ran], retryText, `Next: ${remedy}`].join(
+      '\n',
+    ),
     data: { kind, httpStatus, ran, retryAfterMs: retryAfterMs ?? null, remedy },
   };
 }
--- a/packages/ctl/src/runPromote/index.ts
+++ b/packages/ctl/src/runPromote/index.ts
@@ -1,12 +1,12 @@
 import { promoteFromTrial } from '@acaciacrank/operators';
 import { describeAcceptance } from '../_lib/describeAcceptance/index.js';
 import { readDocumentFile } from '../_lib/readEnvironment/index.js';
-import { waitInForce } from '../_lib/waitInForce/index.js';
+import { waitUntilInForce } from '../_lib/waitUntilInForce/index.js';
 import { describeDocumentChanges } from '../runDiff/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
 /**
- * Puts the bytes that trial ran in force in production.
+ * Puts a document in force in production, provided that trial has run exactly the same bytes.
  *
  * @throws RouterError `notTried`, `badDocument`, `conflict` or `storeUnavailable`
  *
@@ -23,17 +23,17 @@
   const changes = await describeDocumentChanges(context, document, environment);
   const promotion = await promoteFromTrial(context.store, context.clock, text, options);
   const { accepted, outcome, trialRun } = promotion;
-  const spread = await waitInForce(context, environment, accepted.version);
-  const next = spread.isEverywhere
+  const rollout = await waitUntilInForce(context, environment, accepted.version);
+  const next = rollout.isComplete
     ? `Next: nothing; to take it back: acaciacrankctl rollback --environment ${environment}`
     : `Next: acaciacrankctl status --environment ${environment}, until every instance acts on it`;
   return {
-    isCertain: spread.isEverywhere,
+    isCertain: rollout.isComplete,
     text: [
       ...describeAcceptance(environment, promotion),
       `Instance ${trialRun.instanceId} ran the same bytes in trial.`,
       ...(outcome === 'accepted' ? changes : []),
-      ...spread.lines,
+      ...rollout.lines,
       next,
     ].join('\n'),
     data: {
@@ -41,7 +41,7 @@
       outcome,
       version: accepted.version,
       digest: accepted.digest,
-      ...spread.data,
+      ...rollout.data,
     },
   };
 }
--- a/packages/ctl/src/runRollback/index.ts
+++ b/packages/ctl/src/runRollback/index.ts
@@ -1,10 +1,10 @@
 import { environmentStore, rollbackVersion } from '@acaciacrank/operators';
 import { describeAcceptance } from '../_lib/describeAcceptance/index.js';
-import { waitInForce } from '../_lib/waitInForce/index.js';
+import { waitUntilInForce } from '../_lib/waitUntilInForce/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
 /**
- * Puts an earlier version's bytes in force again, as a new version.
+ * Puts the bytes of an earlier version in force again, as a new version.
  *
  * @throws RouterError `notFound`, `conflict` or `storeUnavailable`
  *
@@ -19,16 +19,16 @@
   const store = environmentStore(context.store, environment);
   const acceptance = await rollbackVersion(store, context.clock, environment, { toVersion });
   const { accepted, outcome } = acceptance;
-  const spread = await waitInForce(context, environment, accepted.version);
+  const rollout = await waitUntilInForce(context, environment, accepted.version);
   return {
-    isCertain: spread.isEverywhere,
+    isCertain: rollout.isComplete,
     text: [
       ...describeAcceptance(environment, acceptance),
       ...(accepted.rolledBackTo === undefined
         ? []
-        : [`It has the bytes of version ${accepted.rolledBackTo}; versions only rise.`]),
-      ...spread.lines,
-      `Next: acaciacrankctl status --environment ${environment}; bring your file back to these bytes too`,
+        : [`It has the bytes of version ${accepted.rolledBackTo}; version numbers only increase.`]),
+      ...rollout.lines,
+      `Next: acaciacrankctl status --environment ${environment}; restore your document file to these bytes too`,
     ].join('\n'),
     data: {
       environment,
@@ -36,7 +36,7 @@
       version: accepted.version,
       rolledBackTo: accepted.rolledBackTo ?? null,
       digest: accepted.digest,
-      ...spread.data,
+      ...rollout.data,
     },
   };
 }
--- a/packages/ctl/src/runStatus/index.ts
+++ b/packages/ctl/src/runStatus/index.ts
@@ -1,17 +1,17 @@
 import { describeError } from '@acaciacrank/base';
 import { readBudget, type BudgetStatus } from '@acaciacrank/ledger';
 import { isTrialEnvironment, trialEnvironmentOf, type Manifest } from '@acaciacrank/operators';
-import { askInstances } from '../askInstances/index.js';
+import { queryInstances } from '../queryInstances/index.js';
 import { formatTime } from '../_lib/formatTime/index.js';
-import { readEnvironment, readInForce } from '../_lib/readEnvironment/index.js';
-import { describeSpread } from '../_lib/waitInForce/index.js';
+import { readEnvironment, readCurrentManifest } from '../_lib/readEnvironment/index.js';
+import { describeRollout } from '../_lib/waitUntilInForce/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
-/** How many budgets are shown; `budget` shows any of them. */
-const maxBudgets = 20;
+/** Maximum number of budgets to show; the `budget` command shows any of them. */
+const maxShownBudgets = 20;
 
 /**
- * Says which version is accepted, which instances act on it, and how the first budgets stand.
+ * Shows the accepted version, which instances act on it, and the first budgets.
  *
  * @example
  * const { isCertain } = await runStatus(context, 'kapiti');
@@ -20,22 +20,22 @@
   context: CommandContext,
   environment: string,
 ): Promise<CommandResult> {
-  const [accepted, view] = await Promise.all([
-    known(() => readInForce(context, environment)),
-    askInstances(context, environment),
+  const [accepted, fleet] = await Promise.all([
+    tryRead(() => readCurrentManifest(context, environment)),
+    queryInstances(context, environment),
   ]);
   const manifest = accepted.value;
-  const spread = describeSpread(view, manifest?.version ?? 0);
+  const rollout = describeRollout(fleet, manifest?.version ?? 0);
   const trial = isTrialEnvironment(environment)
     ? undefined
     : await describeTrial(context, environment, manifest);
   const budgets = await describeBudgets(context, environment, manifest);
-  const isCertain = accepted.problem === undefined && spread.isEverywhere && budgets.isCertain;
+  const isCertain = accepted.problem === undefined && rollout.isComplete && budgets.isCertain;
   return {
     isCertain,
     text: [
       ...describeAccepted(environment, manifest, accepted.problem),
-      ...spread.lines,
+      ...rollout.lines,
       ...(trial === undefined ? [] : [trial]),
       ...budgets.lines,
       isCertain
@@ -49,18 +49,18 @@
       acceptedAtMs: manifest?.acceptedAtMs ?? null,
       storeProblem: accepted.problem ?? null,
       rollbackVersions: manifest?.previous.map(({ version }) => version) ?? [],
-      ...spread.data,
+      ...rollout.data,
       budgets: budgets.rows,
     },
   };
 }
 
-interface Known<Value> {
+interface ReadResult<Value> {
   readonly value: Value | undefined;
   readonly problem: string | undefined;
 }
 
-async function known<Value>(read: () => Promise<Value>): Promise<Known<Value>> {
+async function tryRead<Value>(read: () => Promise<Value>): Promise<ReadResult<Value>> {
   try {
     return { value: await read(), problem: undefined };
   } catch (thrown) {
@@ -79,9 +79,9 @@
   if (manifest === undefined) return [`No document of ${environment} has been accepted yet.`];
   const { version, digest, acceptedAtMs, rolledBackTo, previous } = manifest;
   const origin = rolledBackTo === undefined ? '' : `, a rollback to version ${rolledBackTo}`;
-  const kept = previous.map((earlier) => earlier.version).join(', ') || 'none';
+  const rollbackVersionList = previous.map((earlier) => earlier.version).join(', ') || 'none';
   return [
-    `Version ${version} of ${environment} is accepted since ${formatTime(acceptedAtMs)} (digest ${digest.slice(0, 12)}${origin}). Can be rolled back to: ${kept}.`,
+    `Version ${version} of ${environment} is accepted since ${formatTime(acceptedAtMs)} (digest ${digest.slice(0, 12)}${origin}). Can be rolled back to: ${rollbackVersionList}.`,
   ];
 }
 
@@ -90,13 +90,14 @@
   environment: string,
   manifest: Manifest | undefined,
 ): Promise<string> {
-  const { value, problem } = await known(() =>
-    readInForce(context, trialEnvironmentOf(environment)),
+  const { value, problem } = await tryRead(() =>
+    readCurrentManifest(context, trialEnvironmentOf(environment)),
   );
-  if (problem !== undefined) return `What trial has is UNKNOWN: ${problem}.`;
+  if (problem !== undefined) return `Which version trial has is UNKNOWN: ${problem}.`;
   if (value === undefined) return 'Trial has no document.';
-  const same = value.digest === manifest?.digest ? 'the same bytes' : 'OTHER bytes than production';
-  return `Trial has version ${value.version} of its own, ${same}.`;
+  const contentComparison =
+    value.digest === manifest?.digest ? 'the same bytes' : 'OTHER bytes than production';
+  return `Trial has version ${value.version} of its own, ${contentComparison}.`;
 }
 
 async function describeBudgets(
@@ -107,24 +108,30 @@
   if (manifest === undefined) return { lines: [], rows: [], isCertain: true };
   try {
     const { index, store } = await readEnvironment(context, environment);
-    const all = [...index.budgets()];
+    const allBudgets = [...index.budgets()];
     const rows = await Promise.all(
-      all.slice(0, maxBudgets).map((budget) => readBudget(store, budget)),
+      allBudgets.slice(0, maxShownBudgets).map((budget) => readBudget(store, budget)),
     );
-    const rest = all.length - rows.length;
+    const remainingCount = allBudgets.length - rows.length;
     const lines = [
       'Budgets, in tokens:',
       ...rows.map((row) => `  ${describeBudget(row)}`),
-      ...(rest > 0 ? [`  and ${rest} more; acaciacrankctl budget NAME shows each`] : []),
+      ...(remainingCount > 0
+        ? [`  and ${remainingCount} more; acaciacrankctl budget NAME shows each`]
+        : []),
     ];
     return { lines, rows, isCertain: true };
   } catch (thrown) {
     const { message } = describeError(thrown);
-    return { lines: [`How budgets stand is UNKNOWN: ${message}.`], rows: [], isCertain: false };
+    return {
+      lines: [`The state of the budgets is UNKNOWN: ${message}.`],
+      rows: [],
+      isCertain: false,
+    };
   }
 }
 
-/** One budget on one line. */
+/** Describes one budget on one line. */
 export function describeBudget(budget: BudgetStatus): string {
   const { budgetId, prepaidTokens, settledTokens, grantedTokens, availableTokens } = budget;
   return `${budgetId}: prepaid ${prepaidTokens}, spent ${settledTokens}, set aside for instances ${grantedTokens}, free ${availableTokens}`;
--- a/packages/ctl/src/runTopUp/index.ts
+++ b/packages/ctl/src/runTopUp/index.ts
@@ -3,11 +3,11 @@
 import { findBudget, readEnvironment } from '../_lib/readEnvironment/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
-/** What to add, and to what. */
+/** Options of {@link runTopUp}. */
 export interface TopUpOptions {
   readonly environment: string;
   readonly budgetId: string;
-  /** Names the top-up; the same id again changes nothing. */
+  /** Identifies the top-up; repeating it with the same id changes nothing. */
   readonly topUpId: string;
   readonly tokens: number;
 }
@@ -15,8 +15,8 @@
 /**
  * Adds prepaid tokens to a budget, once for each top-up id.
  *
- * @throws RouterError `badRequest`, `notFound`, or `storeUnavailable` whose claim is `unknown` when
- * the answer to the write may have been lost
+ * @throws RouterError `badRequest`, `notFound`, or `storeUnavailable`, with `ran` set to `unknown`
+ * when the answer to the write may have been lost
  *
  * @example
  * await runTopUp(context, { environment, budgetId, topUpId: 'invoice-4711', tokens: 50_000 });
@@ -43,8 +43,8 @@
   return {
     isCertain: true,
     text: [
-      `Budget ${budgetId} of ${environment} now has ${prepaidTokens} prepaid tokens; top-up ${options.topUpId} is in it.`,
-      'Instances draw on it at once. Running this again with the same --id changes nothing.',
+      `Budget ${budgetId} of ${environment} now has ${prepaidTokens} prepaid tokens, including top-up ${options.topUpId}.`,
+      'Instances can use the tokens at once. Running this again with the same --id changes nothing.',
       `Next: acaciacrankctl budget ${budgetId} --environment ${environment}`,
     ].join('\n'),
     data: { environment, budgetId, topUpId, prepaidTokens },
--- a/packages/ctl/src/runTry/index.ts
+++ b/packages/ctl/src/runTry/index.ts
@@ -9,11 +9,11 @@
 import type { ObjectStore } from '@acaciacrank/store';
 import { describeAcceptance } from '../_lib/describeAcceptance/index.js';
 import { readDocumentFile } from '../_lib/readEnvironment/index.js';
-import { waitInForce } from '../_lib/waitInForce/index.js';
+import { waitUntilInForce } from '../_lib/waitUntilInForce/index.js';
 import { describeDocumentChanges } from '../runDiff/index.js';
 import type { CommandContext, CommandResult } from '../types.js';
 
-const lookAgainMs = 250;
+const pollIntervalMs = 250;
 
 /**
  * Puts a document in force in the trial environment, and waits until an instance there acts on it.
@@ -29,48 +29,52 @@
   options: { readonly expectedVersion?: number | undefined } = {},
 ): Promise<CommandResult> {
   const { text, document } = readDocumentFile(path);
-  const trial = trialEnvironmentOf(document.environment);
-  const store = environmentStore(context.store, trial);
+  const trialEnvironment = trialEnvironmentOf(document.environment);
+  const store = environmentStore(context.store, trialEnvironment);
   const acceptance = await acceptDocument(store, context.clock, text, {
-    environment: trial,
+    environment: trialEnvironment,
     ...options,
   });
-  const run = await waitForRun(context, store, trial, digestText(text));
-  const spread = await waitInForce({ ...context, waitMs: 0 }, trial, acceptance.accepted.version);
-  const tried =
+  const run = await waitForTrialRun(context, store, trialEnvironment, digestText(text));
+  const rollout = await waitUntilInForce(
+    { ...context, waitMs: 0 },
+    trialEnvironment,
+    acceptance.accepted.version,
+  );
+  const trialSummary =
     run === undefined
-      ? `No instance of ${trial} has said that it acts on these bytes within ${context.waitMs} ms: whether it will is unknown.\nNext: start an instance with environment: ${trial}, or look at acaciacrankctl status --environment ${trial}`
-      : `Instance ${run.instanceId} of ${trial} acts on these bytes: they may be promoted.\nNext: try your callers against ${trial}, then acaciacrankctl promote ${path}`;
+      ? `No instance of ${trialEnvironment} reported within ${context.waitMs} ms that it acts on these bytes: whether it will is unknown.\nNext: start an instance with environment: ${trialEnvironment}, or look at acaciacrankctl status --environment ${trialEnvironment}`
+      : `Instance ${run.instanceId} of ${trialEnvironment} acts on these bytes: they may be promoted.\nNext: try your callers against ${trialEnvironment}, then acaciacrankctl promote ${path}`;
   return {
     isCertain: run !== undefined,
     text: [
-      ...describeAcceptance(trial, acceptance),
-      ...spread.lines,
+      ...describeAcceptance(trialEnvironment, acceptance),
+      ...rollout.lines,
       ...(await describeDocumentChanges(context, document, document.environment)),
-      `Production is as it was.`,
-      tried,
+      `Production was not changed.`,
+      trialSummary,
     ].join('\n'),
     data: {
-      environment: trial,
+      environment: trialEnvironment,
       outcome: acceptance.outcome,
       version: acceptance.accepted.version,
       digest: acceptance.accepted.digest,
       isTried: run !== undefined,
-      ...spread.data,
+      ...rollout.data,
     },
   };
 }
 
-async function waitForRun(
+async function waitForTrialRun(
   { clock, waitMs }: CommandContext,
   store: ObjectStore,
-  trial: string,
+  trialEnvironment: string,
   digest: string,
 ): Promise<TrialRun | undefined> {
-  const untilMs = clock.monotonicMs() + waitMs;
+  const deadlineMs = clock.monotonicMs() + waitMs;
   for (;;) {
-    const run = await readTrialRun(store, trial, digest).catch(() => undefined);
-    if (run !== undefined || clock.monotonicMs() >= untilMs) return run;
-    await clock.sleep(lookAgainMs);
+    const run = await readTrialRun(store, trialEnvironment, digest).catch(() => undefined);
+    if (run !== undefined || clock.monotonicMs() >= deadlineMs) return run;
+    await clock.sleep(pollIntervalMs);
   }
 }
--- a/packages/ctl/src/types.ts
+++ b/packages/ctl/src/types.ts
@@ -5,49 +5,51 @@
 import type { InstanceList, ListedInstance, ObjectStore } from '@acaciacrank/store';
 import type { OperatorPorts } from './OperatorPorts/index.js';
 
-/** What the commands work on. */
+/** The services and settings that commands use. */
 export interface CommandContext {
   readonly clock: Clock;
-  /** The whole store; each command takes the part of its environment. */
+  /** The store of all environments; each command uses the part of its own environment. */
   readonly store: ObjectStore;
   readonly list: InstanceList;
   readonly ports: OperatorPorts;
-  /** How long a command waits for instances to act on what it put in force, in milliseconds. */
+  /** How long a command waits for instances to act on a change, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** What a command did: for people, and for machines. */
+/** The result of a command. */
 export interface CommandResult {
+  /** The result as text for people. */
   readonly text: string;
+  /** The result as data, which `--json` prints. */
   readonly data: Readonly<Record<string, unknown>>;
-  /** False when something that the command tells of is unknown, or is not yet so. */
+  /** False when part of the result is unknown, or when an instance does not act on the change yet. */
   readonly isCertain: boolean;
 }
 
-/** What an instance says of itself on its operators' port. */
+/** The status that an instance reports on its operators' port. */
 export interface InstanceAnswer {
   readonly isAccepting: boolean;
   readonly openRequests: number;
-  /** undefined when it acts on no version yet. */
+  /** The configuration version that it acts on; undefined when it acts on none yet. */
   readonly version: number | undefined;
   readonly digest: string | undefined;
   readonly sinceMs: number | undefined;
-  /** Why it could not take up a version that it knows of. */
+  /** Why it could not load a version that it knows of. */
   readonly problem: string | undefined;
 }
 
-/** What is known of one listed instance. */
+/** What is known about one listed instance. */
 export interface InstanceView {
   readonly entry: ListedInstance;
-  /** undefined when it is unknown. */
+  /** Its status; undefined when it is unknown. */
   readonly answer: InstanceAnswer | undefined;
-  /** Why it is unknown. */
+  /** Why its status is unknown. */
   readonly reason: string | undefined;
 }
 
-/** What is known of all listed instances of an environment. */
+/** What is known about all listed instances of an environment. */
 export interface FleetView {
   readonly instances: readonly InstanceView[];
-  /** Why even the list is unknown. */
+  /** Why the instance list itself could not be read. */
   readonly listProblem: string | undefined;
 }
