--- a/packages/callers/src/ByteBudget/index.ts
+++ b/packages/callers/src/ByteBudget/index.ts
@@ -1,13 +1,14 @@
 /**
- * A bound on the memory that bodies take together.
+ * Bounds the total memory used by request and response bodies.
  */
 import { RouterError } from '@acaciacrank/base';
 
 /**
- * Counts bytes held for bodies.
+ * Counts the bytes held for bodies.
  *
- * Guards against many callers that each send a body within its own bound and slowly: together they
- * would take the instance's memory. The next body is then refused as `overloaded`, not run.
+ * Guards against many callers that each slowly send a body within the size limit: together they
+ * would exhaust the instance's memory. Further bodies are refused as `overloaded`, and their
+ * requests do not run.
  */
 export class ByteBudget {
   readonly #maxBytes: number;
@@ -21,24 +22,27 @@
     return this.#heldBytes;
   }
 
-  /** Opens an account for one exchange; dispose of it when the exchange has ended. */
+  /** Starts counting for one HTTP exchange; dispose of the result when the exchange has ended. */
   open(): HeldBytes {
     return new HeldBytes(this);
   }
 
-  /** Counts bytes in, or out when negative. */
+  /** Adds bytes to the total; a negative number subtracts. */
   count(bytes: number): void {
     this.#heldBytes += bytes;
   }
 
-  /** @throws RouterError `overloaded` when so many more do not fit */
+  /** @throws RouterError `overloaded` if this many more bytes would exceed the limit */
   check(bytes: number): void {
     if (this.#heldBytes + bytes <= this.#maxBytes) return;
-    throw new RouterError('overloaded', 'too many bodies are held at this instance');
+    throw new RouterError(
+      'overloaded',
+      'the memory limit for request and response bodies is reached',
+    );
   }
 }
 
-/** What one exchange holds of a {@link ByteBudget}. */
+/** The bytes that one HTTP exchange holds in a {@link ByteBudget}. */
 export class HeldBytes implements Disposable {
   readonly #budget: ByteBudget;
   #bytes = 0;
@@ -48,16 +52,19 @@
   }
 
   /**
-   * Counts part of a caller's body.
+   * Counts part of a request body.
    *
-   * @throws RouterError `overloaded`
+   * @throws RouterError `overloaded` if it would exceed the limit
    */
   take(bytes: number): void {
     this.#budget.check(bytes);
     this.add(bytes);
   }
 
-  /** Counts an answer, which is there already: it makes the next body wait, not itself. */
+  /**
+   * Counts a response body. It is in memory already, so it is never refused itself, but leaves less
+   * room for further request bodies.
+   */
   add(bytes: number): void {
     this.#bytes += bytes;
     this.#budget.count(bytes);
--- a/packages/callers/src/CallerWriter/index.ts
+++ b/packages/callers/src/CallerWriter/index.ts
@@ -1,5 +1,5 @@
 /**
- * Writes to a caller at the pace that it reads, and not for ever.
+ * Writes responses with backpressure and a stall timeout.
  */
 import type { Clock } from '@acaciacrank/base';
 import type { ServerResponse } from 'node:http';
@@ -7,19 +7,19 @@
 /** Options of {@link CallerWriter}. */
 export interface CallerWriterOptions {
   clock: Clock;
-  /** How long a caller may read nothing while something waits for it, in milliseconds. */
+  /** How long a caller may read nothing while data is pending, in milliseconds. */
   stallLimitMs: number;
-  /** Called once when the caller is given up. */
+  /** Called once when the connection is closed because the caller stalled. */
   onStall: () => void;
 }
 
-/** A body is written in pieces of this size, so that each piece read is progress. */
-const pieceBytes = 65_536;
+/** Bodies are written in chunks of this size, so that each chunk read counts as progress. */
+const chunkBytes = 65_536;
 
 /**
- * Waits for the caller after each write, and closes its connection when it reads nothing for too
- * long: one that stopped reading, or whose connection went silent, would otherwise hold the answer
- * in memory until the operating system notices, if ever.
+ * Waits for the caller after each write, and closes the connection if the caller reads nothing for
+ * too long. Otherwise a caller that stopped reading, or whose connection is dead, would keep the
+ * response in memory until the operating system notices, if ever.
  */
 export class CallerWriter {
   readonly #response: ServerResponse;
@@ -30,24 +30,24 @@
     this.#options = options;
   }
 
-  /** Writes a part; resolves when the caller may be sent more, or is gone. */
+  /** Writes part of the response; resolves when more can be written or the connection is closed. */
   async write(part: string | Uint8Array): Promise<void> {
     if (this.#response.destroyed || this.#response.write(part)) return;
-    await this.#progress('drain');
+    await this.#waitForProgress('drain');
   }
 
-  /** Writes a whole body and ends the answer. */
+  /** Writes a whole body and ends the response. */
   async end(body: Uint8Array = new Uint8Array()): Promise<void> {
-    for (let start = 0; start < body.byteLength; start += pieceBytes) {
+    for (let start = 0; start < body.byteLength; start += chunkBytes) {
       if (this.#response.destroyed) return;
-      await this.write(body.subarray(start, start + pieceBytes));
+      await this.write(body.subarray(start, start + chunkBytes));
     }
     if (this.#response.destroyed) return;
     this.#response.end();
-    if (!this.#response.writableFinished) await this.#progress('finish');
+    if (!this.#response.writableFinished) await this.#waitForProgress('finish');
   }
 
-  async #progress(event: 'drain' | 'finish'): Promise<void> {
+  async #waitForProgress(event: 'drain' | 'finish'): Promise<void> {
     const { clock, stallLimitMs, onStall } = this.#options;
     const response = this.#response;
     await new Promise<void>((resolve) => {
--- a/packages/callers/src/ChatHandler/index.ts
+++ b/packages/callers/src/ChatHandler/index.ts
@@ -18,14 +18,14 @@
 } from '@acaciacrank/operators';
 import type { AdmissionQueue } from '@acaciacrank/routing';
 import type { EndFrame, EngineFrame, EngineUsage } from '@acaciacrank/upstreams';
-import { claimAfterDispatch } from '../_lib/claimAfterDispatch/index.js';
-import { billPatience } from '../_lib/billPatience/index.js';
+import { toPossiblyRunError } from '../_lib/toPossiblyRunError/index.js';
+import { createCallerDeadline } from '../_lib/createCallerDeadline/index.js';
 import { DeadlineSignal } from '../_lib/DeadlineSignal/index.js';
-import { holdOrFindPaid } from '../_lib/holdTokens/index.js';
-import type { RequestFunds } from '../_lib/RequestFunds/index.js';
+import { reserveTokensOrFindBill } from '../_lib/reserveTokens/index.js';
+import type { TokenReservation } from '../_lib/TokenReservation/index.js';
 import { chatDigest, requestKeyOf } from '../_lib/requestKeyOf/index.js';
 import { abortReason } from '../_lib/untilAborted/index.js';
-import { AnswerStore } from '../AnswerStore/index.js';
+import { AnswerCache } from '../AnswerCache/index.js';
 import type { EngineDispatch } from '../EngineDispatch/index.js';
 import { SharedAnswer } from '../SharedAnswer/index.js';
 import type { ChatCall, ChatFrame } from '../types.js';
@@ -38,17 +38,17 @@
   ledger: BudgetLedger;
   queue: AdmissionQueue;
   engines: EngineDispatch;
-  /** Makes ids that no other instance or life of this one makes. */
+  /** Generates ids that are unique across instances and restarts. */
   nextRequestId: () => RequestId;
-  /** Answers that run or finished here; its bounds can be set from outside. */
-  answers?: AnswerStore;
-  /** How long a begun answer runs on after its caller has gone away, in milliseconds. */
+  /** Answers in progress or finished at this instance; pass one to set its bounds. */
+  answers?: AnswerCache;
+  /** How long a started answer continues after its caller has disconnected, in milliseconds. */
   lingerMs?: number | undefined;
-  /** The longest request that the ledger's grants allow for, in milliseconds. */
+  /** Longest request duration that the ledger's grants allow, in milliseconds. */
   longestRequestMs?: number;
 }
 
-/** Time kept within the ledger's longest request for writing the bill, in milliseconds. */
+/** Part of the longest request duration that is reserved for writing the bill, in milliseconds. */
 const billMarginMs = 10 * millisecondsInSecond;
 
 interface Attempt {
@@ -64,57 +64,70 @@
   readonly startedMs: number;
 }
 
-/** How far a run came; what it is billed when it ends early depends on it. */
-interface Progress {
+/** How much was generated so far; determines the bill of an answer that ends early. */
+interface GenerationProgress {
   tokens: number;
-  /** What the engine says that it did, once the run was ended early. */
+  /** Usage reported by the engine after the generation was cancelled. */
   usage: Promise<EngineUsage | undefined>;
 }
 
-/** Answers chat completions: reserve, queue, stream, bill, end; a retry reads the same answer. */
+/**
+ * Answers chat completions: reserves tokens, waits for admission, streams, bills and sends the
+ * final frame. A retry with the same idempotency key reads the same answer.
+ */
 export class ChatHandler {
   readonly #options: ChatHandlerOptions;
-  readonly #answers: AnswerStore;
+  readonly #answers: AnswerCache;
   #openBills = 0;
 
   constructor(options: ChatHandlerOptions) {
     this.#options = options;
-    this.#answers = options.answers ?? new AnswerStore({ clock: options.clock });
+    this.#answers = options.answers ?? new AnswerCache({ clock: options.clock });
   }
 
-  /** Answers and bills not yet ended, also those without a caller; a planned stop waits for them. */
+  /**
+   * Number of answers and bills in progress, including those whose caller has disconnected; a
+   * planned stop waits for them.
+   */
   get openAnswers(): number {
     return this.#answers.openAnswers + this.#openBills;
   }
 
   /**
-   * Runs one call, or joins the run of the same call under the same key.
+   * Runs one call, or joins the run of the same call with the same idempotency key.
    *
-   * @param call - what the caller asks
-   * @param signal - aborted when the caller goes away
-   * @returns the answer's frames; the final one comes only when the bill is durable
-   * @throws RouterError of any kind; after the first frame its claim is never `notRun`
+   * @param call - the caller's request
+   * @param signal - aborted when the caller disconnects
+   * @returns the answer's frames; the final one comes only after the bill has been stored durably
+   * @throws RouterError of any kind; after the first frame its `ran` is never `notRun`
    */
   async *run(call: ChatCall, signal: AbortSignal): AsyncIterable<ChatFrame> {
-    const attempt = this.#identify(call);
+    const attempt = this.#createAttempt(call);
     this.#options.metrics.count('requests', attempt.series);
-    const known = this.#answers.find(attempt.key, attempt.digest);
-    const answer = known ?? this.#begin(attempt);
+    const existing = this.#answers.find(attempt.key, attempt.digest);
+    const answer = existing ?? this.#startAnswer(attempt);
     const { totalDeadlineMs } = attempt.classEntry;
     const isAnswered = () => answer.isGenerated;
-    using patience = billPatience(this.#options.clock, totalDeadlineMs, signal, isAnswered);
-    if (known === undefined) {
-      yield* answer.read(patience.signal);
+    using callerDeadline = createCallerDeadline(
+      this.#options.clock,
+      totalDeadlineMs,
+      signal,
+      isAnswered,
+    );
+    if (existing === undefined) {
+      yield* answer.read(callerDeadline.signal);
       return;
     }
     this.#options.metrics.count('joined', attempt.series);
-    for await (const frame of answer.read(patience.signal)) {
+    for await (const frame of answer.read(callerDeadline.signal)) {
       yield frame.kind === 'final' ? { ...frame, isRepeat: true } : frame;
     }
   }
 
-  /** Checks who asks for what; nothing of an answer is shown before this has passed. */
-  #identify(call: ChatCall): Attempt {
+  /**
+   * Authenticates the call and resolves its budget, service and class, before any answer is shared.
+   */
+  #createAttempt(call: ChatCall): Attempt {
     const { index } = this.#options.configuration();
     const accountId = index.accountOfKey(call.accountKey);
     const budget = index.budgetOf(accountId, call.budgetId);
@@ -134,13 +147,13 @@
     };
   }
 
-  #begin(attempt: Attempt): SharedAnswer {
+  #startAnswer(attempt: Attempt): SharedAnswer {
     const { clock, queue, lingerMs = 5 * millisecondsInSecond } = this.#options;
     const answer = new SharedAnswer({
       clock,
       digest: attempt.digest,
       produce: (signal, onGenerated) => this.#produce(attempt, signal, onGenerated),
-      // A place that others wait for is not kept for a caller that has gone.
+      // While other requests wait, a slot is not kept for a caller that has disconnected.
       lingerMs: () => (queue.waitingRequests > 0 ? 0 : lingerMs),
     });
     this.#answers.add(attempt.key, answer);
@@ -149,35 +162,36 @@
 
   async *#produce(
     attempt: Attempt,
-    outer: AbortSignal,
+    parentSignal: AbortSignal,
     onGenerated: () => void,
   ): AsyncIterable<ChatFrame> {
     const { clock, longestRequestMs = 600 * millisecondsInSecond } = this.#options;
     const limitMs = Math.min(attempt.classEntry.totalDeadlineMs, longestRequestMs - billMarginMs);
-    using deadline = new DeadlineSignal(clock, limitMs, outer);
-    const progress: Progress = { tokens: 0, usage: Promise.resolve(undefined) };
-    using held = await this.#hold(attempt);
+    using deadline = new DeadlineSignal(clock, limitMs, parentSignal);
+    const progress: GenerationProgress = { tokens: 0, usage: Promise.resolve(undefined) };
+    using held = await this.#reserve(attempt);
     let end: EndFrame | undefined;
     try {
-      using place = await this.#admit(attempt, deadline.signal);
+      using slot = await this.#admit(attempt, deadline.signal);
       for await (const frame of this.#generate(attempt, held, progress, deadline.signal)) {
         if (frame.kind === 'token') yield frame;
         else end = frame;
       }
     } catch (thrown) {
-      this.#abandon(attempt, held, progress, describeError(thrown));
+      this.#failEarly(attempt, held, progress, describeError(thrown));
     }
-    if (end === undefined) throw new RouterError('upstreamFailed', 'the stream had no end');
+    if (end === undefined)
+      throw new RouterError('upstreamFailed', 'the engine stream ended without an end frame');
     onGenerated();
     yield await this.#finish(attempt, held, end);
   }
 
-  #hold(attempt: Attempt): Promise<RequestFunds> {
+  #reserve(attempt: Attempt): Promise<TokenReservation> {
     const { ledger, clock } = this.#options;
-    const tokens = longestPromptTokens(attempt) + attempt.maxTokens;
-    const limitMs = this.#firstTokenLeftMs(attempt);
+    const tokens = maxPromptTokens(attempt) + attempt.maxTokens;
+    const limitMs = this.#remainingFirstTokenMs(attempt);
     const options = { clock, ledger, budget: attempt.budget, tokens, limitMs };
-    return holdOrFindPaid(options, attempt);
+    return reserveTokensOrFindBill(options, attempt);
   }
 
   #admit(attempt: Attempt, signal: AbortSignal): Promise<Disposable> {
@@ -186,15 +200,15 @@
       service: attempt.service.name as ServiceName,
       priority: attempt.classEntry.priority,
       accountId: attempt.budget.accountId,
-      waitMs: this.#firstTokenLeftMs(attempt),
+      waitMs: this.#remainingFirstTokenMs(attempt),
       signal,
     });
   }
 
   async *#generate(
     attempt: Attempt,
-    held: RequestFunds,
-    progress: Progress,
+    held: TokenReservation,
+    progress: GenerationProgress,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const { call, requestId, classEntry, maxTokens } = attempt;
@@ -219,12 +233,12 @@
       signal,
     );
     for await (const frame of frames) {
-      if (frame.kind === 'token') this.#noteToken(attempt, progress);
+      if (frame.kind === 'token') this.#recordToken(attempt, progress);
       yield frame;
     }
   }
 
-  async #finish(attempt: Attempt, held: RequestFunds, end: EndFrame): Promise<ChatFrame> {
+  async #finish(attempt: Attempt, held: TokenReservation, end: EndFrame): Promise<ChatFrame> {
     const { metrics, clock } = this.#options;
     const bill = await this.#settle(attempt, held, end.promptTokens + end.outputTokens);
     if (bill.isRepeat && bill.bodyDigest !== attempt.digest) {
@@ -245,22 +259,28 @@
   }
 
   /**
-   * Ends a run without a whole answer. What was generated is billed when the caller went away or
-   * the class's time ran out; a failure of this system or of an upstream costs the caller nothing.
-   * The error is not held back for the bill.
+   * Ends a run whose answer is incomplete. What was generated is billed if the caller disconnected
+   * or the class's deadline passed; failures of this system or of an upstream are not billed.
+   * The error is thrown without waiting for the bill.
    */
-  #abandon(attempt: Attempt, held: RequestFunds, progress: Progress, error: RouterError): never {
+  #failEarly(
+    attempt: Attempt,
+    held: TokenReservation,
+    progress: GenerationProgress,
+    error: RouterError,
+  ): never {
     const isBilled = error.kind === 'cancelled' || error.kind === 'deadlineExceeded';
     this.#options.metrics.count('wastedTokens', attempt.series, progress.tokens);
-    if (isBilled && progress.tokens > 0) this.#billEarlyEnd(attempt, held.take(), progress);
-    throw progress.tokens > 0 ? claimAfterDispatch(error) : error;
+    if (isBilled && progress.tokens > 0)
+      this.#billPartialAnswer(attempt, held.transfer(), progress);
+    throw progress.tokens > 0 ? toPossiblyRunError(error) : error;
   }
 
   /**
-   * Bills what the engine says that it did. Where it does not say, only the tokens that came are
-   * billed: how many tokens the prompt has is not known here, and a guess could charge too much.
+   * Bills the usage that the engine reports. If it reports none, only the received tokens are
+   * billed: the number of prompt tokens is unknown here, and an estimate could overcharge.
    */
-  #billEarlyEnd(attempt: Attempt, held: RequestFunds, progress: Progress): void {
+  #billPartialAnswer(attempt: Attempt, held: TokenReservation, progress: GenerationProgress): void {
     this.#openBills += 1;
     const end = () => {
       held.release();
@@ -275,7 +295,7 @@
       .then(end, end);
   }
 
-  async #settle(attempt: Attempt, held: RequestFunds, tokens: number): Promise<Bill> {
+  async #settle(attempt: Attempt, held: TokenReservation, tokens: number): Promise<Bill> {
     const { metrics } = this.#options;
     const bill = await held.settle({
       requestKey: attempt.key,
@@ -288,20 +308,20 @@
     return bill;
   }
 
-  #noteToken(attempt: Attempt, progress: Progress): void {
+  #recordToken(attempt: Attempt, progress: GenerationProgress): void {
     const { clock, metrics } = this.#options;
     const waitedMs = clock.monotonicMs() - attempt.startedMs;
     if (progress.tokens === 0) metrics.record('firstTokenMs', attempt.series, waitedMs);
     progress.tokens += 1;
   }
 
-  #firstTokenLeftMs(attempt: Attempt): number {
+  #remainingFirstTokenMs(attempt: Attempt): number {
     const waitedMs = this.#options.clock.monotonicMs() - attempt.startedMs;
     return Math.max(0, attempt.classEntry.firstTokenDeadlineMs - waitedMs);
   }
 }
 
-function longestPromptTokens({ call, service }: Attempt): number {
+function maxPromptTokens({ call, service }: Attempt): number {
   const bytes = call.messages.reduce((sum, message) => sum + Buffer.byteLength(message.content), 0);
   return Math.ceil(bytes / service.minBytesPerToken);
 }
--- a/packages/callers/src/EngineDispatch/index.ts
+++ b/packages/callers/src/EngineDispatch/index.ts
@@ -8,55 +8,57 @@
   type EngineUsage,
   type GenerateRequest,
 } from '@acaciacrank/upstreams';
-import { claimAfterDispatch } from '../_lib/claimAfterDispatch/index.js';
+import { toPossiblyRunError } from '../_lib/toPossiblyRunError/index.js';
 import { UpstreamPicker, type UpstreamPickerOptions } from '../_lib/UpstreamPicker/index.js';
 
 /** Options of {@link EngineDispatch}. */
 export type EngineDispatchOptions = UpstreamPickerOptions;
 
-/** One generation to be got from whichever upstream. */
-export interface EngineWork {
+/** One generation to run at any suitable engine. */
+export interface GenerationTask {
   readonly request: GenerateRequest;
   readonly service: ServiceName;
   readonly className: ClassName;
-  /** Hash of the prompt's beginning, for prefix affinity. */
+  /** Hash of the start of the prompt, for prefix affinity. */
   readonly prefixHash: number;
-  /** When the first token is due, by the monotonic clock; no further upstream is tried after it. */
+  /** When the first token is due, by the monotonic clock; no other upstream is tried after it. */
   readonly firstTokenDueMs: number;
-  /** Checked before each dispatch: whether the tokens held may still be spent. */
+  /** Checked before each dispatch: whether the reserved tokens may still be spent. */
   readonly isSpendable: () => boolean;
-  /** Told what an engine did for a generation that was ended early, where the engine says so. */
+  /** Called with the usage of a generation that was cancelled, if the engine reports it. */
   readonly onCancelled: (usage: Promise<EngineUsage | undefined>) => void;
 }
 
-/** What is known of the request over all upstreams that were tried. */
-interface Outcome {
-  /** Whether an engine may have taken it; from then on no answer says that it did not run. */
+/** What is known about the request across all upstreams tried. */
+interface DispatchOutcome {
+  /** Whether an engine may have accepted the request; if so, no error reports it as `notRun`. */
   mayHaveRun: boolean;
-  passedOnTokens: number;
+  forwardedTokens: number;
 }
 
-/** How often a stream is taken up again in a row without any progress. */
-const maxFailuresInRow = 3;
-/** The longest first wait before a stream is taken up again, in milliseconds; doubles each time. */
-const resumeBackOffMs = 50;
-/** However near the first-token deadline, an engine gets this long to say something. */
-const leastFirstTokenLimitMs = 250;
+/** How many times in a row a stream is resumed without any progress. */
+const maxConsecutiveFailures = 3;
+/** Base of the jittered exponential backoff before a stream is resumed, in milliseconds. */
+const resumeBackoffMs = 50;
+/**
+ * Minimum time that an engine gets for its first token, however near the deadline, in milliseconds.
+ */
+const minFirstTokenTimeoutMs = 250;
 
-/** Where a stream stands. */
+/** The state of one stream. */
 interface StreamState {
-  readonly outcome: Outcome;
+  readonly outcome: DispatchOutcome;
   readonly dispatchedMs: number;
-  /** The sequence of the next token wanted. */
-  next: number;
-  failuresInRow: number;
+  /** Sequence number of the next expected token. */
+  nextSequence: number;
+  consecutiveFailures: number;
   lastProgressMs: number;
   isEnded: boolean;
 }
 
 /**
- * Gets one whole stream from the engines: chooses one, takes its stream up again when it breaks off
- * or falls silent, and goes to another engine only while no token was passed on.
+ * Gets one complete stream from an engine. Resumes the stream if it breaks off or stalls, and tries
+ * another engine only as long as no token has been forwarded.
  */
 export class EngineDispatch {
   readonly #options: EngineDispatchOptions;
@@ -68,143 +70,149 @@
   /**
    * Streams one generation.
    *
-   * @param work - what to generate
-   * @param signal - ends it; the engine is told
-   * @returns frames of one engine's answer, in order, without a gap, up to its end
-   * @throws RouterError whose claim is `notRun` only when no engine can have taken the request
+   * @param task - what to generate
+   * @param signal - aborts the generation, which is then cancelled at the engine
+   * @returns the frames of one engine's answer, in order and without gaps, up to its end
+   * @throws RouterError whose `ran` is `notRun` only if no engine can have accepted the request
    */
-  async *stream(work: EngineWork, signal: AbortSignal): AsyncIterable<EngineFrame> {
-    const picker = new UpstreamPicker(this.#options, { ...work, dueMs: work.firstTokenDueMs });
-    const outcome: Outcome = { mayHaveRun: false, passedOnTokens: 0 };
+  async *stream(task: GenerationTask, signal: AbortSignal): AsyncIterable<EngineFrame> {
+    const picker = new UpstreamPicker(this.#options, { ...task, dueMs: task.firstTokenDueMs });
+    const outcome: DispatchOutcome = { mayHaveRun: false, forwardedTokens: 0 };
     let lastError: RouterError | undefined;
     for (let upstream = picker.next(); upstream !== undefined; upstream = picker.next()) {
       try {
-        yield* this.#streamFrom(upstream, work, outcome, signal);
+        yield* this.#streamFrom(upstream, task, outcome, signal);
         return;
       } catch (error) {
         if (!(error instanceof RouterError)) throw error;
         lastError = error;
         this.#options.metrics.count('upstreamFailures', upstream.id);
-        // Two answers are never spliced: once a token was passed on, only its own stream continues.
-        if (outcome.passedOnTokens > 0 || signal.aborted) break;
+        // Answers are never spliced: once a token has been forwarded, only the same stream may
+        // continue.
+        if (outcome.forwardedTokens > 0 || signal.aborted) break;
       }
     }
     const error =
       lastError ?? new RouterError('upstreamUnavailable', 'no live upstream has the model');
-    throw outcome.mayHaveRun ? claimAfterDispatch(error) : error;
+    throw outcome.mayHaveRun ? toPossiblyRunError(error) : error;
   }
 
   async *#streamFrom(
     upstream: Upstream,
-    work: EngineWork,
-    outcome: Outcome,
+    task: GenerationTask,
+    outcome: DispatchOutcome,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const { registry, clock } = this.#options;
     const { engine } = upstream;
-    if (engine === undefined) throw new RouterError('internal', `${upstream.id} is no engine`);
-    if (!work.isSpendable()) {
-      const what = 'the grant ended before the request was dispatched';
+    if (engine === undefined) throw new RouterError('internal', `${upstream.id} is not an engine`);
+    if (!task.isSpendable()) {
+      const what = 'the grant expired before the request was dispatched';
       throw new RouterError('storeUnavailable', what, { ran: 'notRun' });
     }
-    using use = registry.begin(upstream, work.request.priority);
+    using inFlight = registry.begin(upstream, task.request.priority);
     const nowMs = clock.monotonicMs();
     const state: StreamState = {
       outcome,
       dispatchedMs: nowMs,
-      next: 0,
-      failuresInRow: 0,
+      nextSequence: 0,
+      consecutiveFailures: 0,
       lastProgressMs: nowMs,
       isEnded: false,
     };
     try {
-      while (!state.isEnded) yield* this.#connect(engine, work, state, use, signal);
+      while (!state.isEnded) yield* this.#streamConnection(engine, task, state, inFlight, signal);
     } finally {
-      // A generation that nobody reads any more must not go on holding a place at the engine.
-      if (!state.isEnded) work.onCancelled(cancelAndRead(engine, work.request.requestId));
+      // A generation without a reader must not keep occupying a slot at the engine.
+      if (!state.isEnded) task.onCancelled(cancelAndReadUsage(engine, task.request.requestId));
     }
   }
 
-  /** Reads one connection until the stream ends or the connection fails. */
-  async *#connect(
+  /** Reads from one connection until the stream ends or the connection fails. */
+  async *#streamConnection(
     engine: EngineClient,
-    work: EngineWork,
+    task: GenerationTask,
     state: StreamState,
-    use: UpstreamUse,
+    inFlight: UpstreamUse,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const { clock, metrics, random } = this.#options;
-    const { request } = work;
-    const isFirst = state.failuresInRow === 0 && state.next === 0;
+    const { request } = task;
+    const isFirst = state.consecutiveFailures === 0 && state.nextSequence === 0;
     const open = (connection: AbortSignal) =>
       isFirst
         ? engine.generate(request, connection)
-        : engine.resume(request.requestId, state.next, connection);
-    const limitMs = () => this.#silenceLimitMs(engine, work, state);
+        : engine.resume(request.requestId, state.nextSequence, connection);
+    const limitMs = () => this.#progressTimeoutMs(engine, task, state);
     try {
       const frames = watchProgress(open, { clock, limitMs, signal });
-      for await (const frame of checkFrames(frames, request.requestId, state.next)) {
-        checkLength(work, frame);
-        use.progress();
-        this.#noteProgress(engine, state, frame);
+      for await (const frame of checkFrames(frames, request.requestId, state.nextSequence)) {
+        assertWithinMaxTokens(task, frame);
+        inFlight.progress();
+        this.#recordProgress(engine, state, frame);
         yield frame;
       }
     } catch (error) {
       const isRefused = error instanceof RouterError && error.kind === 'upstreamUnavailable';
       if (!(isFirst && isRefused)) state.outcome.mayHaveRun = true;
-      state.failuresInRow += 1;
-      if (error instanceof RouterError && !signal.aborted) use.failed(error);
+      state.consecutiveFailures += 1;
+      if (error instanceof RouterError && !signal.aborted) inFlight.failed(error);
       if (signal.aborted || !isResumable(error, isFirst)) throw error;
-      if (state.failuresInRow > maxFailuresInRow || this.#isTimeForAnother(work, state))
+      if (
+        state.consecutiveFailures > maxConsecutiveFailures ||
+        this.#shouldTryAnotherEngine(task, state)
+      )
         throw error;
       metrics.count('resumes');
-      await clock.sleep(resumeBackOffMs * 2 ** state.failuresInRow * random(), signal);
+      await clock.sleep(resumeBackoffMs * 2 ** state.consecutiveFailures * random(), signal);
     }
   }
 
-  #noteProgress(engine: EngineClient, state: StreamState, frame: EngineFrame): void {
+  #recordProgress(engine: EngineClient, state: StreamState, frame: EngineFrame): void {
     const nowMs = this.#options.clock.monotonicMs();
     if (frame.kind === 'end') {
       state.isEnded = true;
       return;
     }
-    if (state.next === 0) engine.firstTokens.observe(nowMs - state.dispatchedMs);
+    if (state.nextSequence === 0) engine.firstTokens.observe(nowMs - state.dispatchedMs);
     else engine.tokenGaps.observe(nowMs - state.lastProgressMs);
-    state.next = frame.sequence + 1;
+    state.nextSequence = frame.sequence + 1;
     state.lastProgressMs = nowMs;
-    state.failuresInRow = 0;
+    state.consecutiveFailures = 0;
     state.outcome.mayHaveRun = true;
-    state.outcome.passedOnTokens += 1;
+    state.outcome.forwardedTokens += 1;
   }
 
   /**
-   * Whether half the time to the first token has gone without one. Taking the stream up again at
-   * the same engine would use up the time in which another one can still answer.
+   * Whether half of the time to the first-token deadline has passed without a token. Resuming at
+   * the same engine would use up the time in which another engine can still answer.
    */
-  #isTimeForAnother(work: EngineWork, state: StreamState): boolean {
+  #shouldTryAnotherEngine(task: GenerationTask, state: StreamState): boolean {
     const nowMs = this.#options.clock.monotonicMs();
-    const spentMs = nowMs - state.dispatchedMs;
-    const leftMs = work.firstTokenDueMs - nowMs;
-    return state.next === 0 && leftMs > 0 && spentMs >= leftMs;
+    const elapsedMs = nowMs - state.dispatchedMs;
+    const remainingMs = task.firstTokenDueMs - nowMs;
+    return state.nextSequence === 0 && remainingMs > 0 && elapsedMs >= remainingMs;
   }
 
   /**
-   * Doubles with each failure in a row, so that an engine that has only become slow is not asked
-   * ever again. While the first token is not yet late, half of what is left is kept for another try.
+   * Doubles with each consecutive failure, so that an engine that has merely become slow is not
+   * resumed over and over. Until the first token is overdue, half of the remaining time is kept for
+   * another attempt.
    */
-  #silenceLimitMs(engine: EngineClient, work: EngineWork, state: StreamState): number {
-    const factor = 2 ** state.failuresInRow;
-    if (state.next > 0) return engine.tokenGaps.limitMs() * factor;
-    const learntMs = engine.firstTokens.limitMs() * factor;
-    const leftMs = work.firstTokenDueMs - this.#options.clock.monotonicMs();
-    if (leftMs <= 0) return learntMs;
-    return Math.min(learntMs, Math.max(leastFirstTokenLimitMs, leftMs / 2));
+  #progressTimeoutMs(engine: EngineClient, task: GenerationTask, state: StreamState): number {
+    const factor = 2 ** state.consecutiveFailures;
+    if (state.nextSequence > 0) return engine.tokenGaps.limitMs() * factor;
+    const learnedTimeoutMs = engine.firstTokens.limitMs() * factor;
+    const remainingMs = task.firstTokenDueMs - this.#options.clock.monotonicMs();
+    if (remainingMs <= 0) return learnedTimeoutMs;
+    return Math.min(learnedTimeoutMs, Math.max(minFirstTokenTimeoutMs, remainingMs / 2));
   }
 }
 
 /**
- * Whether the same engine may still have the stream. A first connection that was never made has
- * started none; one refused later only says that the engine cannot be reached just now.
+ * Whether the same engine may still have the stream. If the first connection was never established,
+ * no stream was started; a later connection failure only means that the engine is unreachable for
+ * now.
  */
 function isResumable(error: unknown, isFirst: boolean): boolean {
   if (!(error instanceof RouterError)) return false;
@@ -212,13 +220,16 @@
   return error.kind === 'upstreamFailed';
 }
 
-/** An engine that does not stop would fill the instance's memory with tokens that nobody pays. */
-function checkLength({ request }: EngineWork, frame: EngineFrame): void {
+/**
+ * Guards against an engine that never stops: it would fill the instance's memory with unpaid
+ * tokens.
+ */
+function assertWithinMaxTokens({ request }: GenerationTask, frame: EngineFrame): void {
   if (frame.kind === 'end' || frame.sequence < request.maxTokens) return;
-  throw new RouterError('upstreamFailed', `the engine passed ${request.maxTokens} tokens`);
+  throw new RouterError('upstreamFailed', `the engine sent more than ${request.maxTokens} tokens`);
 }
 
-async function cancelAndRead(
+async function cancelAndReadUsage(
   engine: EngineClient,
   requestId: RequestId,
 ): Promise<EngineUsage | undefined> {
--- a/packages/callers/src/ServiceDispatch/index.ts
+++ b/packages/callers/src/ServiceDispatch/index.ts
@@ -7,39 +7,39 @@
 } from '@acaciacrank/base';
 import type { Upstream } from '@acaciacrank/routing';
 import type { ServiceAnswer, ServiceRequest } from '@acaciacrank/upstreams';
-import { claimAfterDispatch } from '../_lib/claimAfterDispatch/index.js';
+import { toPossiblyRunError } from '../_lib/toPossiblyRunError/index.js';
 import { UpstreamPicker, type UpstreamPickerOptions } from '../_lib/UpstreamPicker/index.js';
 import { abortReason, untilAborted } from '../_lib/untilAborted/index.js';
 
 /** Options of {@link ServiceDispatch}. */
 export type ServiceDispatchOptions = UpstreamPickerOptions;
 
-/** One call to be made at whichever upstream. */
-export interface ServiceWork {
+/** One call to make at any suitable upstream. */
+export interface ServiceCallTask {
   readonly request: ServiceRequest;
   readonly service: ServiceName;
   readonly className: ClassName;
-  /** Whether a second run has no second effect. */
+  /** Whether the call is idempotent, so that it may be retried. */
   readonly isRepeatable: boolean;
-  /** When the answer is due, by the monotonic clock; nothing is tried again after it. */
+  /** When the response is due, by the monotonic clock; there are no retries after it. */
   readonly answerDueMs: number;
-  /** Checked before each dispatch: whether the tokens held may still be spent. */
+  /** Checked before each dispatch: whether the reserved tokens may still be spent. */
   readonly isSpendable: () => boolean;
 }
 
-/** The longest first wait before a call is tried again, in milliseconds; doubles each time. */
-const retryBackOffMs = 50;
-/** However near the time that the answer is due, an upstream gets this long. */
-const leastAnswerLimitMs = 250;
-/** The status by which a service says that it cannot answer just now. */
+/** Base of the jittered exponential backoff before a retry, in milliseconds. */
+const retryBackoffMs = 50;
+/** Minimum time that an upstream gets to respond, however near the due time, in milliseconds. */
+const minAnswerTimeoutMs = 250;
+/** Status of a service that is temporarily unavailable. */
 const unavailableStatus = 503;
 
-/** One try at one upstream. */
-type Try = { readonly answer: ServiceAnswer } | { readonly error: RouterError };
+/** The result of one attempt at one upstream. */
+type Attempt = { readonly answer: ServiceAnswer } | { readonly error: RouterError };
 
 /**
- * Makes one call at one upstream, and at another only where that is safe: when no byte of it
- * reached the first, or when the call may be repeated. Both cost a retry of the retry budget.
+ * Makes one call at one upstream, and retries at another only where that is safe: if no byte of the
+ * call reached the first, or if the call is idempotent. Either uses the retry budget.
  */
 export class ServiceDispatch {
   readonly #options: ServiceDispatchOptions;
@@ -51,40 +51,41 @@
   /**
    * Makes one call.
    *
-   * @param work - what to call
-   * @param signal - gives the call up; it may have run then
-   * @returns the service's answer, of whatever status
-   * @throws RouterError whose claim is `notRun` only when no upstream can have run the call
+   * @param task - what to call
+   * @param signal - aborts the call, which may have run nevertheless
+   * @returns the service's response, whatever its status
+   * @throws RouterError whose `ran` is `notRun` only if no upstream can have run the call
    */
-  async call(work: ServiceWork, signal: AbortSignal): Promise<ServiceAnswer> {
-    const picker = new UpstreamPicker(this.#options, { ...work, dueMs: work.answerDueMs });
+  async call(task: ServiceCallTask, signal: AbortSignal): Promise<ServiceAnswer> {
+    const picker = new UpstreamPicker(this.#options, { ...task, dueMs: task.answerDueMs });
     let mayHaveRun = false;
-    let last: Try | undefined;
+    let lastAttempt: Attempt | undefined;
     for (let upstream = picker.next(); upstream !== undefined; upstream = picker.next()) {
-      if (last !== undefined) await this.#backOff(picker.triedUpstreams, signal);
-      last = await this.#try(upstream, work, signal);
-      if ('answer' in last) {
-        if (last.answer.status !== unavailableStatus) return last.answer;
+      if (lastAttempt !== undefined) await this.#backOff(picker.triedUpstreams, signal);
+      lastAttempt = await this.#attempt(upstream, task, signal);
+      if ('answer' in lastAttempt) {
+        if (lastAttempt.answer.status !== unavailableStatus) return lastAttempt.answer;
         mayHaveRun = true;
       } else {
-        mayHaveRun ||= last.error.ran !== 'notRun';
+        mayHaveRun ||= lastAttempt.error.ran !== 'notRun';
       }
-      if (signal.aborted || (mayHaveRun && !work.isRepeatable)) break;
+      if (signal.aborted || (mayHaveRun && !task.isRepeatable)) break;
     }
-    if (last !== undefined && 'answer' in last) return last.answer;
+    if (lastAttempt !== undefined && 'answer' in lastAttempt) return lastAttempt.answer;
     const error =
-      last?.error ?? new RouterError('upstreamUnavailable', `no live upstream of ${work.service}`);
-    throw mayHaveRun ? claimAfterDispatch(error) : error;
+      lastAttempt?.error ??
+      new RouterError('upstreamUnavailable', `no live upstream of ${task.service}`);
+    throw mayHaveRun ? toPossiblyRunError(error) : error;
   }
 
   #backOff(triedUpstreams: number, signal: AbortSignal): Promise<void> {
     const { clock, random } = this.#options;
-    return clock.sleep(retryBackOffMs * 2 ** (triedUpstreams - 1) * random(), signal);
+    return clock.sleep(retryBackoffMs * 2 ** (triedUpstreams - 1) * random(), signal);
   }
 
-  async #try(upstream: Upstream, work: ServiceWork, signal: AbortSignal): Promise<Try> {
+  async #attempt(upstream: Upstream, task: ServiceCallTask, signal: AbortSignal): Promise<Attempt> {
     try {
-      return { answer: await this.#callOne(upstream, work, signal) };
+      return { answer: await this.#callOne(upstream, task, signal) };
     } catch (error) {
       if (!(error instanceof RouterError)) throw error;
       this.#options.metrics.count('upstreamFailures', upstream.id);
@@ -94,50 +95,50 @@
 
   async #callOne(
     upstream: Upstream,
-    work: ServiceWork,
+    task: ServiceCallTask,
     signal: AbortSignal,
   ): Promise<ServiceAnswer> {
     const { clock, registry } = this.#options;
     const { plain } = upstream;
     if (plain === undefined) {
-      const message = `${upstream.id} is no plain service`;
+      const message = `${upstream.id} is not a plain service`;
       throw new RouterError('internal', message, { ran: 'notRun' });
     }
     if (signal.aborted) throw notSent(abortReason(signal));
-    if (!work.isSpendable()) {
-      const message = 'the grant ended before the call was dispatched';
+    if (!task.isSpendable()) {
+      const message = 'the grant expired before the call was dispatched';
       throw new RouterError('storeUnavailable', message, { ran: 'notRun' });
     }
-    using use = registry.begin(upstream);
+    using inFlight = registry.begin(upstream);
     const startedMs = clock.monotonicMs();
-    const send = (limited: AbortSignal) =>
-      untilAborted(plain.call(work.request, limited), signal).catch((error: unknown) => {
-        throw signal.aborted ? claimAfterDispatch(abortReason(signal)) : error;
+    const send = (timeoutSignal: AbortSignal) =>
+      untilAborted(plain.call(task.request, timeoutSignal), signal).catch((error: unknown) => {
+        throw signal.aborted ? toPossiblyRunError(abortReason(signal)) : error;
       });
-    const what = `${work.request.method} ${work.request.path}`;
-    const answer = await withTimeout(clock, this.#limitMs(upstream, work), send, {
+    const what = `${task.request.method} ${task.request.path}`;
+    const answer = await withTimeout(clock, this.#timeoutMs(upstream, task), send, {
       kind: 'outcomeUnknown',
       what,
       signal,
     }).catch((error: unknown) => {
-      if (error instanceof RouterError && !signal.aborted) use.failed(error);
+      if (error instanceof RouterError && !signal.aborted) inFlight.failed(error);
       throw error;
     });
-    use.progress();
+    inFlight.progress();
     plain.answerTimes.observe(clock.monotonicMs() - startedMs);
     return answer;
   }
 
   /**
-   * A call that may be repeated leaves a silent upstream early, while there is time for another. One
-   * that may not is waited for until its total deadline: there is nothing else to do for it.
+   * An idempotent call gives up on an unresponsive upstream early, while there is time for another.
+   * Any other call waits until its total deadline, since it cannot be retried.
    */
-  #limitMs(upstream: Upstream, work: ServiceWork): number {
-    if (!work.isRepeatable || upstream.plain === undefined) return millisecondsInHour;
-    const learntMs = upstream.plain.answerTimes.limitMs();
-    const leftMs = work.answerDueMs - this.#options.clock.monotonicMs();
-    if (leftMs <= 0) return learntMs;
-    return Math.min(learntMs, Math.max(leastAnswerLimitMs, leftMs / 2));
+  #timeoutMs(upstream: Upstream, task: ServiceCallTask): number {
+    if (!task.isRepeatable || upstream.plain === undefined) return millisecondsInHour;
+    const learnedTimeoutMs = upstream.plain.answerTimes.limitMs();
+    const remainingMs = task.answerDueMs - this.#options.clock.monotonicMs();
+    if (remainingMs <= 0) return learnedTimeoutMs;
+    return Math.min(learnedTimeoutMs, Math.max(minAnswerTimeoutMs, remainingMs / 2));
   }
 }
 
--- a/packages/callers/src/ServiceHandler/index.ts
+++ b/packages/callers/src/ServiceHandler/index.ts
@@ -19,11 +19,11 @@
   type PlainServiceDocument,
 } from '@acaciacrank/operators';
 import type { ServiceAnswer } from '@acaciacrank/upstreams';
-import { billPatience } from '../_lib/billPatience/index.js';
+import { createCallerDeadline } from '../_lib/createCallerDeadline/index.js';
 import { DeadlineSignal } from '../_lib/DeadlineSignal/index.js';
-import { holdOrFindPaid, holdTokens } from '../_lib/holdTokens/index.js';
-import { earlierAnswer, keptAnswer } from '../_lib/keptAnswer/index.js';
-import type { RequestFunds } from '../_lib/RequestFunds/index.js';
+import { reserveTokens, reserveTokensOrFindBill } from '../_lib/reserveTokens/index.js';
+import { answerFromRecord, toStoredAnswer } from '../_lib/storedAnswer/index.js';
+import type { TokenReservation } from '../_lib/TokenReservation/index.js';
 import { requestKeyOf, serviceDigest } from '../_lib/requestKeyOf/index.js';
 import { untilAborted } from '../_lib/untilAborted/index.js';
 import type { ServiceDispatch } from '../ServiceDispatch/index.js';
@@ -39,15 +39,18 @@
   records: RequestRecords;
   services: ServiceDispatch;
   nextRequestId: () => RequestId;
-  /** The longest request that the ledger's grants allow for, in milliseconds. */
+  /** Longest request duration that the ledger's grants allow, in milliseconds. */
   longestRequestMs?: number;
 }
 
-/** Time kept within the ledger's longest request for writing bill and record, in milliseconds. */
+/**
+ * Part of the longest request duration that is reserved for writing the bill and the record, in
+ * milliseconds.
+ */
 const billMarginMs = 10 * millisecondsInSecond;
-/** How long an error may wait for the record that makes its claim durable, in milliseconds. */
-const claimLimitMs = 2 * millisecondsInSecond;
-/** How often the outcome of a call is written before its record is left as an intent. */
+/** How long a response may wait for its request record to be written or read, in milliseconds. */
+const recordTimeoutMs = 2 * millisecondsInSecond;
+/** Attempts to write the outcome of a call; after the last one its record remains an intent. */
 const maxRecordWrites = 20;
 
 interface Attempt {
@@ -65,7 +68,7 @@
 }
 
 interface CallProgress {
-  /** Whether the service has answered, so that only the bill is missing. */
+  /** Whether the service has responded, so that only the bill is missing. */
   isAnswered: boolean;
 }
 
@@ -74,10 +77,10 @@
   readonly answer: Promise<ServiceAnswer>;
 }
 
-/** Answers calls to plain services; those that may not be repeated run at most once. */
+/** Handles calls to plain services; calls that are not idempotent run at most once. */
 export class ServiceHandler {
   readonly #options: ServiceHandlerOptions;
-  /** Calls that may not be repeated and run here now. */
+  /** Non-idempotent calls in progress at this instance. */
   readonly #running = new Map<RequestKey, RunningCall>();
   #openWrites = 0;
 
@@ -85,7 +88,9 @@
     this.#options = options;
   }
 
-  /** Calls, bills and records not yet ended, also those whose caller has gone. */
+  /**
+   * Number of calls, bills and records in progress, including those whose caller has disconnected.
+   */
   get openCalls(): number {
     return this.#running.size + this.#openWrites;
   }
@@ -93,26 +98,31 @@
   /**
    * Runs one call.
    *
-   * @param call - what the caller asks
-   * @param signal - aborted when the caller goes away
-   * @returns the service's answer; the first one again when a non-repeatable call is retried
+   * @param call - the caller's request
+   * @param signal - aborted when the caller disconnects
+   * @returns the service's response; the stored one if a non-idempotent call is retried
    * @throws RouterError of any kind
    */
   async run(call: ServiceCall, signal: AbortSignal): Promise<ServiceAnswer> {
-    const attempt = this.#identify(call);
+    const attempt = this.#createAttempt(call);
     this.#options.metrics.count('requests', attempt.series);
     const { totalDeadlineMs } = attempt.classEntry;
     const isAnswered = () => attempt.progress.isAnswered;
-    using patience = billPatience(this.#options.clock, totalDeadlineMs, signal, isAnswered);
+    using callerDeadline = createCallerDeadline(
+      this.#options.clock,
+      totalDeadlineMs,
+      signal,
+      isAnswered,
+    );
     const work = attempt.isRepeatable
-      ? this.#runRepeatable(attempt, patience.signal)
+      ? this.#runRepeatable(attempt, callerDeadline.signal)
       : this.#joinOrRunOnce(attempt);
-    const answer = await untilAborted(work, patience.signal);
+    const answer = await untilAborted(work, callerDeadline.signal);
     this.#options.metrics.count('answered', attempt.series);
     return answer;
   }
 
-  #identify(call: ServiceCall): Attempt {
+  #createAttempt(call: ServiceCall): Attempt {
     const { index } = this.#options.configuration();
     const accountId = index.accountOfKey(call.accountKey);
     const budget = index.budgetOf(accountId, call.budgetId);
@@ -133,10 +143,13 @@
     };
   }
 
-  /** A call that may be repeated costs nothing until it is answered: its caller asks again. */
+  /**
+   * An idempotent call is billed only after its response has arrived: until then the caller can
+   * retry.
+   */
   async #runRepeatable(attempt: Attempt, signal: AbortSignal): Promise<ServiceAnswer> {
     using deadline = this.#deadline(attempt, signal);
-    using held = await this.#hold(attempt);
+    using held = await this.#reserve(attempt);
     const answer = await this.#dispatch(attempt, held, deadline.signal);
     attempt.progress.isAnswered = true;
     const bill = await this.#bill(attempt, held);
@@ -148,39 +161,39 @@
   }
 
   /**
-   * A retry that comes while the call runs here waits for the same answer. The call does not end
-   * with its caller: it cannot be undone, and its outcome must be kept for the retry.
+   * A retry that arrives while the call is running here waits for the same response. The call
+   * continues if its caller disconnects: it cannot be undone, and a retry needs its outcome.
    */
   #joinOrRunOnce(attempt: Attempt): Promise<ServiceAnswer> {
-    const known = this.#running.get(attempt.key);
-    if (known === undefined) return this.#start(attempt);
-    if (known.digest === attempt.digest) return known.answer;
+    const existing = this.#running.get(attempt.key);
+    if (existing === undefined) return this.#start(attempt);
+    if (existing.digest === attempt.digest) return existing.answer;
     throw new RouterError('keyReused', 'the idempotency key was used with another body');
   }
 
   #start(attempt: Attempt): Promise<ServiceAnswer> {
     const answer = this.#runOnce(attempt);
     this.#running.set(attempt.key, { digest: attempt.digest, answer });
-    const forget = () => {
+    const removeRunning = () => {
       this.#running.delete(attempt.key);
     };
-    answer.then(forget, forget);
+    answer.then(removeRunning, removeRunning);
     return answer;
   }
 
   async #runOnce(attempt: Attempt): Promise<ServiceAnswer> {
-    let held: RequestFunds | undefined;
+    let held: TokenReservation | undefined;
     try {
-      held = await this.#hold(attempt);
+      held = await this.#reserve(attempt);
     } catch (error) {
-      return this.#answerEarlierOr(attempt, error);
+      return this.#answerFromRecordOrThrow(attempt, error);
     }
     using guard = held;
-    return await this.#runHeld(attempt, guard);
+    return await this.#runReserved(attempt, guard);
   }
 
-  /** Intent first, then at most one dispatch, then the bill and the outcome. */
-  async #runHeld(attempt: Attempt, held: RequestFunds | undefined): Promise<ServiceAnswer> {
+  /** Records an intent, dispatches at most once, then writes the bill and the outcome. */
+  async #runReserved(attempt: Attempt, held: TokenReservation | undefined): Promise<ServiceAnswer> {
     const { clock, records } = this.#options;
     const { key, requestId, digest } = attempt;
     using deadline = this.#deadline(attempt, new AbortController().signal);
@@ -188,58 +201,59 @@
       records.begin(key, requestId, digest, { signal: deadline.signal }),
       deadline.signal,
     );
-    if (begun.kind === 'earlier') return earlierAnswer(begun.record, clock.wallMs());
+    if (begun.kind === 'earlier') return answerFromRecord(begun.record, clock.wallMs());
     let answer: ServiceAnswer;
     try {
       answer = await this.#dispatch(attempt, held, deadline.signal);
     } catch (error) {
-      throw await this.#endUnanswered(attempt, held, begun.version, describeError(error));
+      throw await this.#handleUnanswered(attempt, held, begun.version, describeError(error));
     }
     attempt.progress.isAnswered = true;
     await this.#bill(attempt, held);
-    void this.#record(attempt, begun.version, 'ran', keptAnswer(answer));
+    void this.#writeOutcome(attempt, begun.version, 'ran', toStoredAnswer(answer));
     return answer;
   }
 
   /**
-   * A retry that cannot hold tokens, for example because its first attempt used up the budget, still
-   * gets the first attempt's answer: it needs none.
+   * A retry that cannot reserve tokens, for example because its first attempt used up the budget,
+   * still gets the response of the first attempt, which needs no tokens.
    */
-  async #answerEarlierOr(attempt: Attempt, error: unknown): Promise<ServiceAnswer> {
+  async #answerFromRecordOrThrow(attempt: Attempt, error: unknown): Promise<ServiceAnswer> {
     const { clock, records } = this.#options;
     const find = () => records.find(attempt.key);
     const limit = { kind: 'storeUnavailable', what: 'reading the record' } as const;
-    const record = await withTimeout(clock, claimLimitMs, find, limit).catch(() => undefined);
+    const record = await withTimeout(clock, recordTimeoutMs, find, limit).catch(() => undefined);
     if (record === undefined || record.state === 'notRun') throw error;
-    if (record.bodyDigest === attempt.digest) return earlierAnswer(record, clock.wallMs());
+    if (record.bodyDigest === attempt.digest) return answerFromRecord(record, clock.wallMs());
     throw new RouterError('keyReused', 'the idempotency key was used with another body');
   }
 
   /**
-   * Ends a call without an answer. One that may have run is billed once and its record stays an
-   * intent, so that every retry is told of the doubt. One that did not run costs nothing, and its
-   * record says so before the caller is told, for a claim about the request.
+   * Ends a call without a response. A call that may have run is billed once and its record stays an
+   * intent, so that every retry is told that the outcome is unknown. A call that did not run is not
+   * billed. Its record is updated before the caller is told; only then does the error's claim cover
+   * the whole request rather than this attempt.
    */
-  async #endUnanswered(
+  async #handleUnanswered(
     attempt: Attempt,
-    held: RequestFunds | undefined,
+    held: TokenReservation | undefined,
     version: number,
     error: RouterError,
   ): Promise<RouterError> {
     if (error.ran !== 'notRun') {
-      this.#keepOpen(this.#bill(attempt, held));
+      this.#trackOpenWrite(this.#bill(attempt, held));
       if (error.ran === 'ran') return error;
       return new RouterError('outcomeUnknown', 'the call may have run', { cause: error });
     }
     held?.release();
-    const recording = this.#record(attempt, version, 'notRun');
+    const recording = this.#writeOutcome(attempt, version, 'notRun');
     const limit = {
       kind: 'storeUnavailable',
       what: 'recording that the call did not run',
     } as const;
     const isRecorded = await withTimeout(
       this.#options.clock,
-      claimLimitMs,
+      recordTimeoutMs,
       () => recording,
       limit,
     ).catch(() => false);
@@ -250,8 +264,8 @@
     });
   }
 
-  /** Writes the outcome over the intent, also while the store is away for a while. */
-  async #record(
+  /** Replaces the intent by the outcome; retries through a temporary outage of the store. */
+  async #writeOutcome(
     attempt: Attempt,
     version: number,
     state: 'ran' | 'notRun',
@@ -278,7 +292,7 @@
 
   #dispatch(
     attempt: Attempt,
-    held: RequestFunds | undefined,
+    held: TokenReservation | undefined,
     signal: AbortSignal,
   ): Promise<ServiceAnswer> {
     const { call, requestId, service, classEntry, isRepeatable, startedMs } = attempt;
@@ -296,17 +310,19 @@
     );
   }
 
-  async #hold(attempt: Attempt): Promise<RequestFunds | undefined> {
+  async #reserve(attempt: Attempt): Promise<TokenReservation | undefined> {
     const { clock, ledger } = this.#options;
     const { budget, service, classEntry } = attempt;
     if (service.tokensPerCall === 0) return undefined;
     const limitMs = classEntry.firstTokenDeadlineMs;
     const options = { clock, ledger, budget, tokens: service.tokensPerCall, limitMs };
-    // A call that may not be repeated has a record, which is looked at in place of the bill.
-    return attempt.isRepeatable ? holdOrFindPaid(options, attempt) : holdTokens(options);
+    // For a non-idempotent call the request record is checked instead of the bill.
+    return attempt.isRepeatable
+      ? reserveTokensOrFindBill(options, attempt)
+      : reserveTokens(options);
   }
 
-  async #bill(attempt: Attempt, held: RequestFunds | undefined): Promise<Bill | undefined> {
+  async #bill(attempt: Attempt, held: TokenReservation | undefined): Promise<Bill | undefined> {
     if (held === undefined) return undefined;
     const { key: requestKey, requestId, digest: bodyDigest, service, series } = attempt;
     const tokens = service.tokensPerCall;
@@ -316,8 +332,8 @@
     return bill;
   }
 
-  /** Lets work end after its caller was answered; a planned stop waits for it. */
-  #keepOpen(work: Promise<unknown>): void {
+  /** Tracks a write that continues after the response, so that a planned stop waits for it. */
+  #trackOpenWrite(work: Promise<unknown>): void {
     this.#openWrites += 1;
     const end = () => {
       this.#openWrites -= 1;
--- a/packages/callers/src/SharedAnswer/index.ts
+++ b/packages/callers/src/SharedAnswer/index.ts
@@ -5,39 +5,39 @@
 /** Options of {@link SharedAnswer}. */
 export interface SharedAnswerOptions {
   clock: Clock;
-  /** Digest of the body that it answers. */
+  /** Digest of the request that this answers. */
   digest: string;
   /**
-   * Runs the request; its signal is aborted when nobody waits for the answer any more. It says when
-   * all of the answer was generated and only the bill is missing.
+   * Runs the request. `signal` is aborted when the answer has no reader left. `onGenerated` is
+   * called when the whole answer has been generated and only the bill is missing.
    */
   produce: (signal: AbortSignal, onGenerated: () => void) => AsyncIterable<ChatFrame>;
-  /** How long a begun answer runs on without a reader, in milliseconds. */
+  /** How long a started answer continues without a reader, in milliseconds. */
   lingerMs: () => number;
 }
 
-/** What a frame costs in memory besides its text, in bytes; an estimate on the safe side. */
+/** Memory per frame in addition to its text, in bytes; a conservative estimate. */
 const frameOverheadBytes = 160;
 
 /**
- * One answer, running or finished, that any number of callers may read from its beginning.
+ * One answer, in progress or finished, that any number of callers can read from the beginning.
  *
- * It is written as fast as the engine generates and kept whole, so a caller that reads slowly holds
- * no place at an engine. Its size is bounded by the most tokens that an answer may have.
+ * It is buffered completely, as fast as the engine generates, so a caller that reads slowly does
+ * not occupy an engine slot. Its size is bounded by the maximum number of tokens per answer.
  */
 export class SharedAnswer {
   readonly digest: string;
-  /** Settles when the answer has ended, either way; never rejects. */
+  /** Resolves when the answer has completed or failed; never rejects. */
   readonly ended: Promise<void>;
   readonly #options: SharedAnswerOptions;
   readonly #frames: ChatFrame[] = [];
-  readonly #stop = new AbortController();
-  readonly #wakers = new Set<() => void>();
+  readonly #abortController = new AbortController();
+  readonly #waiters = new Set<() => void>();
   #error: Error | undefined;
   #isEnded = false;
   #isGenerated = false;
   #readers = 0;
-  #linger: Disposable | undefined;
+  #lingerTimer: Disposable | undefined;
   #bytes = 0;
 
   constructor(options: SharedAnswerOptions) {
@@ -46,53 +46,54 @@
     this.ended = this.#run();
   }
 
-  /** Whether a caller may still join: it is whole, or will be as far as is known. */
+  /** Whether a caller may still join: the answer has neither failed nor been aborted. */
   get isJoinable(): boolean {
-    return this.#error === undefined && !this.#stop.signal.aborted;
+    return this.#error === undefined && !this.#abortController.signal.aborted;
   }
 
-  /** Whether all of it was generated; its bill may be missing. */
+  /** Whether the whole answer has been generated; its bill may still be missing. */
   get isGenerated(): boolean {
     return this.#isGenerated;
   }
 
-  /** Whether it ended with its final frame. */
-  get isWhole(): boolean {
+  /** Whether the answer ended with its final frame. */
+  get isComplete(): boolean {
     return this.#isEnded && this.#error === undefined;
   }
 
-  /** Memory that it takes, in bytes. */
+  /** Estimated memory usage, in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
   /**
-   * The frames from the beginning, as they come.
+   * Yields the frames from the beginning, as they arrive.
    *
-   * @param signal - aborted when this reader goes away
-   * @throws RouterError the signal's reason, `cancelled` where it has none, or why the answer broke off
+   * @param signal - aborted when this reader disconnects
+   * @throws RouterError the signal's reason, `cancelled` if it has none, or the error that ended
+   * the answer
    */
   async *read(signal: AbortSignal): AsyncIterable<ChatFrame> {
     this.#readers += 1;
-    this.#linger?.[Symbol.dispose]();
+    this.#lingerTimer?.[Symbol.dispose]();
     try {
-      for (let next = 0; ;) {
+      for (let nextIndex = 0; ;) {
         if (signal.aborted) throw abortReason(signal);
-        const frame = this.#frames[next];
+        const frame = this.#frames[nextIndex];
         if (frame !== undefined) {
-          next += 1;
+          nextIndex += 1;
           yield frame;
         } else if (this.#error !== undefined) {
           throw this.#error;
         } else if (this.#isEnded) {
           return;
         } else {
-          await this.#change(signal);
+          await this.#waitForChange(signal);
         }
       }
     } finally {
       this.#readers -= 1;
-      if (this.#readers === 0) this.#onUnread();
+      if (this.#readers === 0) this.#handleNoReaders();
     }
   }
 
@@ -101,51 +102,52 @@
       this.#isGenerated = true;
     };
     try {
-      for await (const frame of this.#options.produce(this.#stop.signal, onGenerated)) {
+      for await (const frame of this.#options.produce(this.#abortController.signal, onGenerated)) {
         this.#frames.push(frame);
         this.#bytes += frameOverheadBytes + (frame.kind === 'token' ? 2 * frame.text.length : 0);
-        this.#wake();
+        this.#notifyWaiters();
       }
     } catch (error) {
       this.#error = error instanceof Error ? error : new Error(String(error));
     }
     this.#isEnded = true;
-    this.#linger?.[Symbol.dispose]();
-    this.#wake();
+    this.#lingerTimer?.[Symbol.dispose]();
+    this.#notifyWaiters();
   }
 
   /**
-   * A caller whose connection broke comes back soon, under its key: a begun answer waits for it a
-   * moment, and one near its end just ends. One without a token stops at once, for nothing is lost.
+   * A caller whose connection broke usually retries soon with the same idempotency key, so an
+   * answer that has started continues for `lingerMs`; one that is nearly done completes in that
+   * time. An answer without a token is aborted at once, since nothing is lost.
    */
-  #onUnread(): void {
-    // A bill goes on without readers, and the answer waits for the retry under its key.
+  #handleNoReaders(): void {
+    // Billing continues without readers, and the answer stays available for a retry.
     if (this.#isEnded || this.#isGenerated) return;
     const lingerMs = this.#frames.length === 0 ? 0 : this.#options.lingerMs();
     if (lingerMs <= 0) this.#abort();
     else {
-      this.#linger = this.#options.clock.schedule(lingerMs, () => {
+      this.#lingerTimer = this.#options.clock.schedule(lingerMs, () => {
         this.#abort();
       });
     }
   }
 
   #abort(): void {
-    this.#stop.abort(new RouterError('cancelled', 'the caller went away'));
+    this.#abortController.abort(new RouterError('cancelled', 'the caller went away'));
   }
 
-  #wake(): void {
-    for (const waker of [...this.#wakers]) waker();
+  #notifyWaiters(): void {
+    for (const notify of [...this.#waiters]) notify();
   }
 
-  #change(signal: AbortSignal): Promise<void> {
+  #waitForChange(signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
-        this.#wakers.delete(done);
+        this.#waiters.delete(done);
         signal.removeEventListener('abort', done);
         resolve();
       };
-      this.#wakers.add(done);
+      this.#waiters.add(done);
       signal.addEventListener('abort', done, { once: true });
     });
   }
--- a/packages/callers/src/_lib/PaidTokens/index.ts
+++ b/packages/callers/src/_lib/BilledReservation/index.ts
@@ -1,16 +1,16 @@
 /**
- * A request that an earlier attempt has paid for.
+ * A request that was billed in an earlier attempt.
  */
 import type { Bill, PageBill, SettleRequest } from '@acaciacrank/ledger';
-import { RequestFunds } from '../RequestFunds/index.js';
+import { TokenReservation } from '../TokenReservation/index.js';
 
 /**
- * Stands for a bill that is already written, so that a retry needs no tokens.
+ * Represents a bill that is already written, so that a retry needs no tokens.
  *
- * Guards against a false refusal: a first attempt used up the budget and its answer was lost, and the
- * retry, which costs nothing, would be refused for want of tokens to hold.
+ * Guards against a false refusal: if a first attempt used up the budget and its response was lost,
+ * the retry, which is not billed, would be refused because no tokens are left to reserve.
  */
-export class PaidTokens extends RequestFunds {
+export class BilledReservation extends TokenReservation {
   readonly #bill: PageBill;
 
   constructor(bill: PageBill) {
@@ -22,12 +22,12 @@
     return true;
   }
 
-  override take(): RequestFunds {
+  override transfer(): TokenReservation {
     return this;
   }
 
   override release(): void {
-    // Nothing is held.
+    // No tokens are reserved.
   }
 
   override settle(request: SettleRequest): Promise<Bill> {
--- a/packages/callers/src/_lib/DeadlineSignal/index.ts
+++ b/packages/callers/src/_lib/DeadlineSignal/index.ts
@@ -1,44 +1,44 @@
 /**
- * One abort signal for everything that ends a request early.
+ * An abort signal that combines a deadline with a parent signal.
  */
 import { RouterError, type Clock } from '@acaciacrank/base';
 
 /**
- * Aborted when the caller goes away or the total deadline passes, with the RouterError that says
- * which as its reason. Disposing ends the timer.
+ * Aborted when the parent signal is aborted, with the parent's reason, or when the time limit has
+ * passed, with a RouterError as its reason. Disposing stops the timer.
  */
 export class DeadlineSignal implements Disposable {
-  readonly #abort = new AbortController();
+  readonly #controller = new AbortController();
   readonly #timer: Disposable;
-  readonly #outer: AbortSignal;
-  readonly #onOuterAbort = () => {
-    this.#abort.abort(this.#outer.reason);
+  readonly #parent: AbortSignal;
+  readonly #onParentAbort = () => {
+    this.#controller.abort(this.#parent.reason);
   };
 
   constructor(
     clock: Clock,
     limitMs: number,
-    outer: AbortSignal,
-    reason: () => RouterError = () => notWhole(limitMs),
+    parent: AbortSignal,
+    reason: () => RouterError = () => deadlineExceededError(limitMs),
   ) {
-    this.#outer = outer;
+    this.#parent = parent;
     this.#timer = clock.schedule(limitMs, () => {
-      this.#abort.abort(reason());
+      this.#controller.abort(reason());
     });
-    outer.addEventListener('abort', this.#onOuterAbort, { once: true });
-    if (outer.aborted) this.#onOuterAbort();
+    parent.addEventListener('abort', this.#onParentAbort, { once: true });
+    if (parent.aborted) this.#onParentAbort();
   }
 
   get signal(): AbortSignal {
-    return this.#abort.signal;
+    return this.#controller.signal;
   }
 
   [Symbol.dispose](): void {
     this.#timer[Symbol.dispose]();
-    this.#outer.removeEventListener('abort', this.#onOuterAbort);
+    this.#parent.removeEventListener('abort', this.#onParentAbort);
   }
 }
 
-function notWhole(limitMs: number): RouterError {
-  return new RouterError('deadlineExceeded', `the answer was not whole within ${limitMs} ms`);
+function deadlineExceededError(limitMs: number): RouterError {
+  return new RouterError('deadlineExceeded', `the answer was not complete within ${limitMs} ms`);
 }
--- a/packages/callers/src/_lib/UpstreamPicker/index.ts
+++ b/packages/callers/src/_lib/UpstreamPicker/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which upstream a request tries next, and whether it may.
+ * Picks the upstreams that a request tries.
  */
 import type { ClassName, Clock, Metrics, Random, ServiceName, UpstreamId } from '@acaciacrank/base';
 import type { RetryBudget, Upstream, UpstreamChoice, UpstreamRegistry } from '@acaciacrank/routing';
@@ -14,63 +14,63 @@
   retries: RetryBudget;
 }
 
-/** What of a request decides where it goes. */
-export interface PickedWork {
+/** Properties of a request that determine its upstream. */
+export interface PickCriteria {
   readonly service: ServiceName;
   readonly className: ClassName;
-  /** Hash of the prompt's beginning, for prefix affinity; undefined for plain services. */
+  /** Hash of the start of the prompt, for prefix affinity; undefined for plain services. */
   readonly prefixHash?: number | undefined;
-  /** When its first token or answer is due, by the monotonic clock. */
+  /** When the first token or the response is due, by the monotonic clock. */
   readonly dueMs: number;
 }
 
-/** How many upstreams are tried for one request. */
+/** Maximum number of upstreams tried for one request. */
 const maxUpstreamsTried = 3;
 
 /** Picks upstreams for one request, each at most once. */
 export class UpstreamPicker {
   readonly #options: UpstreamPickerOptions;
-  readonly #work: PickedWork;
+  readonly #criteria: PickCriteria;
   readonly #tried = new Set<UpstreamId>();
-  #last: Upstream | undefined;
+  #lastTried: Upstream | undefined;
 
-  constructor(options: UpstreamPickerOptions, work: PickedWork) {
+  constructor(options: UpstreamPickerOptions, criteria: PickCriteria) {
     this.#options = options;
-    this.#work = work;
+    this.#criteria = criteria;
   }
 
-  /** How many upstreams were tried. */
+  /** Number of upstreams tried so far. */
   get triedUpstreams(): number {
     return this.#tried.size;
   }
 
   /**
-   * The next upstream to try.
+   * Picks the next upstream to try.
    *
-   * A second one costs a retry of the budget of the one that failed, and none is tried once the
-   * request is late.
+   * Every upstream after the first takes a retry from the retry budget of the one that failed, and
+   * none is tried once the request is overdue.
    *
-   * @returns undefined when there is none, or no retry is left
+   * @returns undefined if there is no upstream or no retry left
    */
   next(): Upstream | undefined {
     const { registry, choice, random, retries } = this.#options;
-    const { service, className, prefixHash } = this.#work;
+    const { service, className, prefixHash } = this.#criteria;
     if (this.#tried.size >= maxUpstreamsTried) return undefined;
     const candidates = registry.candidates(service, this.#tried);
     const upstream = choice.choose(candidates, { random, prefixHash });
-    if (upstream === undefined || !this.#mayTry()) return undefined;
-    this.#last = upstream;
+    if (upstream === undefined || !this.#isAttemptAllowed()) return undefined;
+    this.#lastTried = upstream;
     this.#tried.add(upstream.id);
     retries.recordAttempt(upstream.id, className);
     return upstream;
   }
 
-  #mayTry(): boolean {
+  #isAttemptAllowed(): boolean {
     const { clock, metrics, retries } = this.#options;
-    const failed = this.#last;
+    const failed = this.#lastTried;
     if (failed === undefined) return true;
-    if (clock.monotonicMs() >= this.#work.dueMs) return false;
-    const isAllowed = retries.tryRetry(failed.id, this.#work.className);
+    if (clock.monotonicMs() >= this.#criteria.dueMs) return false;
+    const isAllowed = retries.tryRetry(failed.id, this.#criteria.className);
     metrics.count(isAllowed ? 'retries' : 'retriesWithheld', failed.id);
     return isAllowed;
   }
--- a/packages/callers/src/_lib/untilAborted/index.ts
+++ b/packages/callers/src/_lib/untilAborted/index.ts
@@ -1,14 +1,14 @@
 /**
- * Waiting that ends with a signal.
+ * Waits that end when a signal is aborted.
  */
 import { RouterError } from '@acaciacrank/base';
 
 /**
- * Waits for work that may ignore its signal, and no longer than the signal allows.
+ * Waits for a promise or until the signal is aborted, for operations that may ignore the signal.
  *
- * @param work - goes on when the wait ends early; its error is then dropped
- * @param signal - its reason is what the wait ends with
- * @throws the signal's RouterError, or whatever the work throws
+ * @param work - continues if the wait ends early; its error is then ignored
+ * @param signal - ends the wait; its reason is thrown
+ * @throws RouterError the signal's reason, or the error of `work`
  */
 export async function untilAborted<Value>(
   work: Promise<Value>,
@@ -30,7 +30,7 @@
   }
 }
 
-/** Why a signal was aborted; a caller that has gone where nothing else is said. */
+/** Returns why a signal was aborted; `cancelled` if its reason is not a RouterError. */
 export function abortReason(signal: AbortSignal): RouterError {
   if (signal.reason instanceof RouterError) return signal.reason;
   return new RouterError('cancelled', 'the caller went away');
--- a/packages/callers/src/createCallerServer/index.ts
+++ b/packages/callers/src/createCallerServer/index.ts
@@ -33,10 +33,10 @@
 import type { ServiceHandler } from '../ServiceHandler/index.js';
 import type { CallIdentity, ChatCall, ChatFinalFrame, ChatFrame } from '../types.js';
 
-/** The directory's answer. */
+/** The response of the directory. */
 export interface DirectoryAnswer {
   readonly instances: readonly Pick<ListedInstance, 'id' | 'url' | 'failureDomain'>[];
-  /** How long the answer may be kept, in milliseconds. */
+  /** How long the response may be cached, in milliseconds. */
   readonly keepMs: number;
 }
 
@@ -45,38 +45,41 @@
   chat: Pick<ChatHandler, 'run'>;
   services: Pick<ServiceHandler, 'run'>;
   metrics: Metrics;
-  /** Answers the directory for a caller's key and, when it says so, where it is. */
+  /**
+   * Looks up the directory for an account key and, optionally, the failure domain that the caller
+   * is in.
+   */
   directory: (accountKey: string | undefined, near: string | undefined) => DirectoryAnswer;
-  /** Whether the instance takes new work. */
+  /** Whether the instance accepts new requests. */
   isAccepting: () => boolean;
-  /** Bounds that replace {@link defaultCallerLimits}. */
+  /** Overrides of {@link defaultCallerLimits}. */
   limits?: Partial<CallerLimits>;
-  /** Measures how long a caller reads nothing. */
+  /** Used for stall timeouts. */
   clock?: Clock;
-  /** Spreads the times at which refused callers come back. */
+  /** Source of the jitter in retry times. */
   random?: Random;
 }
 
-/** What callers may take of an instance. */
+/** Limits on the resources that callers can use. */
 export interface CallerLimits {
   readonly maxConnections: number;
   readonly maxHeaderBytes: number;
   readonly maxHeaders: number;
-  /** The largest body, in bytes. */
+  /** Largest request body, in bytes. */
   readonly maxBodyBytes: number;
-  /** All bodies and answers held at once, in bytes. */
+  /** Total size of all request and response bodies held in memory, in bytes. */
   readonly maxHeldBytes: number;
-  /** How long the headers of a request may take to arrive, in milliseconds. */
+  /** Timeout for receiving the headers of a request, in milliseconds. */
   readonly headersLimitMs: number;
-  /** How long a whole request may take to arrive, in milliseconds. */
+  /** Timeout for receiving a whole request, in milliseconds. */
   readonly requestLimitMs: number;
-  /** How long a connection may lie idle between two requests, in milliseconds. */
+  /** Keep-alive timeout of a connection between two requests, in milliseconds. */
   readonly idleLimitMs: number;
-  /** How long a caller may read nothing while something waits for it, in milliseconds. */
+  /** How long a caller may read nothing while data is pending, in milliseconds. */
   readonly stallLimitMs: number;
 }
 
-/** The bounds of an instance of 256 MiB. */
+/** Limits for an instance with 256 MiB of memory. */
 export const defaultCallerLimits: CallerLimits = {
   maxConnections: 10_000,
   maxHeaderBytes: 16 * bytesInKibibyte,
@@ -89,8 +92,8 @@
   stallLimitMs: 30 * millisecondsInSecond,
 };
 
-/** What all requests of one server share. */
-interface ServerParts extends CreateCallerServerOptions {
+/** Dependencies shared by all requests of one server. */
+interface ServerContext extends CreateCallerServerOptions {
   readonly limits: CallerLimits;
   readonly clock: Clock;
   readonly random: Random;
@@ -98,17 +101,17 @@
 }
 
 /**
- * The HTTP server that callers speak to.
+ * Creates the HTTP server for callers.
  *
  * @param options - the handlers behind it
- * @returns a server that does not listen yet
+ * @returns a server that is not listening yet
  *
  * @example
  * createCallerServer(options).listen(8080, '10.0.0.5');
  */
 export function createCallerServer(options: CreateCallerServerOptions): Server {
   const limits = { ...defaultCallerLimits, ...options.limits };
-  const parts: ServerParts = {
+  const context: ServerContext = {
     clock: new SystemClock(),
     random: Math.random,
     ...options,
@@ -116,12 +119,13 @@
     bodies: new ByteBudget(limits.maxHeldBytes),
   };
   const server = createServer(serverOptions(limits), (request, response) => {
-    // A write that races with the caller's leaving shows here; the close event ends the work.
+    // A write that races with the caller's disconnect fails here; the close event aborts the
+    // request.
     response.on('error', () => undefined);
-    route(parts, request, response).catch((thrown: unknown) => {
+    route(context, request, response).catch((thrown: unknown) => {
       const error = describeError(thrown);
       options.metrics.count('refused', error.kind);
-      if (!response.headersSent) writeError(response, error, parts.random);
+      if (!response.headersSent) writeError(response, error, context.random);
       else response.destroy();
     });
   });
@@ -134,8 +138,8 @@
 }
 
 /**
- * A sender that is slow on purpose or silent holds its connection no longer than these limits.
- * Probes of the operating system find a caller that is gone while nothing is written to it.
+ * The timeouts close connections of clients that send slowly on purpose or not at all. TCP
+ * keep-alive probes detect a caller that has disappeared while nothing is written to it.
  */
 function serverOptions(limits: CallerLimits): ServerOptions {
   return {
@@ -150,70 +154,78 @@
 }
 
 async function route(
-  options: ServerParts,
+  context: ServerContext,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const url = new URL(request.url ?? '/', 'http://instance');
   if (url.pathname === '/health') {
-    writeJson(response, options.isAccepting() ? 200 : 503, { accepting: options.isAccepting() });
+    writeJson(response, context.isAccepting() ? 200 : 503, { accepting: context.isAccepting() });
     return;
   }
   if (url.pathname === '/directory') {
     const near = url.searchParams.get('near') ?? undefined;
-    writeJson(response, 200, options.directory(accountKeyOf(request), near));
+    writeJson(response, 200, context.directory(accountKeyOf(request), near));
     return;
   }
-  if (!options.isAccepting()) throw new RouterError('instanceLeaving', 'this instance is leaving');
+  if (!context.isAccepting())
+    throw new RouterError(
+      'instanceLeaving',
+      'this instance is leaving and accepts no new requests',
+    );
   if (url.pathname === '/v1/chat/completions' && request.method === 'POST') {
-    await answerChat(options, request, response);
+    await answerChat(context, request, response);
     return;
   }
   if (url.pathname.startsWith('/services/')) {
-    await answerService(options, url, request, response);
+    await answerService(context, url, request, response);
     return;
   }
-  throw new RouterError('notFound', `there is nothing at ${url.pathname}`);
+  throw new RouterError('notFound', `no resource at ${url.pathname}`);
 }
 
 async function answerChat(
-  options: ServerParts,
+  context: ServerContext,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const identity = identityOf(request);
-  const body = await readBody(request, options.limits.maxBodyBytes, holdBytes(options, response));
+  const body = await readBody(
+    request,
+    context.limits.maxBodyBytes,
+    trackHeldBytes(context, response),
+  );
   const { call, isStreamed } = parseChatCall(identity, body.toString('utf8'));
-  const frames = options.chat.run(call, closeSignal(response));
-  if (isStreamed) await writeStream(options, response, call, frames);
-  else await writeWhole(response, call, frames);
+  const frames = context.chat.run(call, createCloseSignal(response));
+  if (isStreamed) await writeStream(context, response, call, frames);
+  else await writeCompletion(response, call, frames);
 }
 
 async function writeStream(
-  options: ServerParts,
+  context: ServerContext,
   response: ServerResponse,
   call: ChatCall,
   frames: AsyncIterable<ChatFrame>,
 ): Promise<void> {
-  const writer = writerOf(options, response);
+  const writer = createWriter(context, response);
   try {
     for await (const frame of frames) {
       if (!response.headersSent) writeStreamHead(response, call);
-      await writer.write(eventOf(chunkOf(call, frame)));
+      await writer.write(formatEvent(formatChunk(call, frame)));
     }
-    await writer.write(eventOf('[DONE]'));
+    await writer.write(formatEvent('[DONE]'));
     await writer.end();
   } catch (thrown) {
     if (!response.headersSent) throw thrown;
-    // The head is out, so the error travels as an event and no final frame follows it.
+    // The headers have been sent, so the error is sent as an event and no final frame follows.
     const error = describeError(thrown);
-    options.metrics.count('brokenOff', error.kind);
-    await writer.write(eventOf(JSON.stringify(errorBody(error, options.random))));
+    context.metrics.count('brokenOff', error.kind);
+    await writer.write(formatEvent(JSON.stringify(errorBody(error, context.random))));
     await writer.end();
   }
 }
 
-async function writeWhole(
+async function writeCompletion(
   response: ServerResponse,
   call: ChatCall,
   frames: AsyncIterable<ChatFrame>,
@@ -224,7 +236,8 @@
     if (frame.kind === 'token') content += frame.text;
     else final = frame;
   }
-  if (final === undefined) throw new RouterError('upstreamFailed', 'the answer had no end');
+  if (final === undefined)
+    throw new RouterError('upstreamFailed', 'the answer ended without a final frame');
   response.setHeader('idempotency-key', call.idempotencyKey);
   writeJson(response, 200, {
     id: final.requestId,
@@ -245,7 +258,7 @@
   });
 }
 
-function chunkOf(call: ChatCall, frame: ChatFrame): string {
+function formatChunk(call: ChatCall, frame: ChatFrame): string {
   const isFinal = frame.kind === 'final';
   const delta = isFinal ? {} : { content: frame.text };
   return JSON.stringify({
@@ -269,41 +282,43 @@
 }
 
 async function answerService(
-  options: ServerParts,
+  context: ServerContext,
   url: URL,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const [, , service = '', ...rest] = url.pathname.split('/');
   const identity = identityOf(request);
-  const held = holdBytes(options, response);
-  const body = await readBody(request, options.limits.maxBodyBytes, held);
+  const held = trackHeldBytes(context, response);
+  const body = await readBody(request, context.limits.maxBodyBytes, held);
   const call = {
     ...identity,
     service,
     method: request.method ?? 'GET',
     path: `/${rest.join('/')}${url.search}`,
-    headers: passedOnHeaders(request),
+    headers: forwardedHeaders(request),
     body,
   };
-  const answer = await options.services.run(call, closeSignal(response));
+  const answer = await context.services.run(call, createCloseSignal(response));
   held.add(answer.body.byteLength);
   const headers: OutgoingHttpHeaders = endToEndHeaders(answer.headers);
-  const length = lengthOf(answer, request.method);
+  const length = contentLengthOf(answer, request.method);
   if (length !== undefined) headers['content-length'] = length;
   response.writeHead(answer.status, headers);
-  await writerOf(options, response).end(answer.body);
+  await createWriter(context, response).end(answer.body);
 }
 
-/** An answer to HEAD says how long its body would be; 204 and 304 have none to speak of. */
-function lengthOf(answer: ServiceAnswer, method: string | undefined): string | undefined {
-  const { 'content-length': told } = answer.headers;
-  if (method === 'HEAD') return typeof told === 'string' ? told : undefined;
+/**
+ * A response to HEAD declares the length of the omitted body; 204 and 304 responses have no body.
+ */
+function contentLengthOf(answer: ServiceAnswer, method: string | undefined): string | undefined {
+  const { 'content-length': declaredLength } = answer.headers;
+  if (method === 'HEAD') return typeof declaredLength === 'string' ? declaredLength : undefined;
   if (answer.status === 204 || answer.status === 304) return undefined;
   return String(answer.body.byteLength);
 }
 
-function passedOnHeaders(request: IncomingMessage): Record<string, string> {
+function forwardedHeaders(request: IncomingMessage): Record<string, string> {
   const entries = Object.entries(endToEndHeaders(request.headers));
   return Object.fromEntries(entries.map(([name, value]) => [name, String(value)]));
 }
@@ -327,7 +342,7 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-function closeSignal(response: ServerResponse): AbortSignal {
+function createCloseSignal(response: ServerResponse): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) abort.abort();
@@ -335,21 +350,23 @@
   return abort.signal;
 }
 
-function eventOf(data: string): string {
+function formatEvent(data: string): string {
   return `data: ${data}\n\n`;
 }
 
-function writerOf(options: ServerParts, response: ServerResponse): CallerWriter {
-  const { clock, limits, metrics } = options;
+function createWriter(context: ServerContext, response: ServerResponse): CallerWriter {
+  const { clock, limits, metrics } = context;
   const onStall = () => {
     metrics.count('stalledCallers');
   };
   return new CallerWriter(response, { clock, stallLimitMs: limits.stallLimitMs, onStall });
 }
 
-/** Counts what an exchange holds until its answer has gone out or its caller has. */
-function holdBytes(options: ServerParts, response: ServerResponse): HeldBytes {
-  const held = options.bodies.open();
+/**
+ * Counts the bytes that an exchange holds until its response has been sent or its caller has gone.
+ */
+function trackHeldBytes(context: ServerContext, response: ServerResponse): HeldBytes {
+  const held = context.bodies.open();
   response.once('close', () => {
     held[Symbol.dispose]();
   });
--- a/packages/callers/src/createCallerServer/test.ts
+++ b/packages/callers/src/createCallerServer/test.ts
@@ -12,7 +12,7 @@
   readonly port: number;
   readonly clock: ManualClock;
   readonly metrics: Metrics;
-  /** Settles when the connection of the first answer has closed. */
+  /** Resolves when the connection of the first response has closed. */
   readonly closed: Promise<void>;
 }
 
@@ -55,7 +55,7 @@
   return { port: (server.address() as AddressInfo).port, clock, metrics, closed };
 }
 
-/** Sends bytes as they are and reads until the connection ends. */
+/** Sends raw bytes and reads until the connection ends. */
 async function exchange(port: number, text: string): Promise<string> {
   const socket = connect(port, '127.0.0.1');
   socket.write(text);
@@ -68,7 +68,7 @@
   return `${line} HTTP/1.1\r\n${head}${headers}connection: close\r\n\r\n${body}`;
 }
 
-test('status, headers and body pass whole, without what is about one connection', async (t) => {
+test('status, end-to-end headers and body are forwarded unchanged', async (t) => {
   let seen: ServiceCall | undefined;
   const rig = await listen(t, {
     answer: (call) => {
@@ -98,16 +98,16 @@
   t.true(answer.endsWith('\r\n\r\nshort and stout'));
 });
 
-test('an answer to HEAD keeps the length of the body that it does not have', async (t) => {
+test('a response to HEAD keeps the content length of the omitted body', async (t) => {
   const headers = { 'content-length': '1234' };
   const answer = () => Promise.resolve({ status: 200, headers, body: Buffer.alloc(0) });
   const rig = await listen(t, { answer });
   t.regex(await exchange(rig.port, request('HEAD /services/pots/1')), /content-length: 1234/);
 });
 
-// The instance runs out of memory: a caller asks for large answers and reads none of them, or its
-// connection has gone silent. It is found by its lack of progress and closed.
-test('a caller that reads nothing is closed', async (t) => {
+// Guards against running out of memory: a caller requests large responses and reads none of them,
+// or its connection is dead. The connection is closed because it makes no progress.
+test('the connection of a caller that reads nothing is closed', async (t) => {
   const body = Buffer.alloc(32 * 1_048_576);
   const answer = () => Promise.resolve({ status: 200, headers: {}, body });
   const rig = await listen(t, { answer });
@@ -122,16 +122,17 @@
   socket.destroy();
 });
 
-// Connections pile up: a sender dribbles its headers, or announces a body and never sends it.
-test('slow senders are cut off', async (t) => {
+// Guards against an accumulation of connections: a client sends its headers very slowly, or
+// declares a body and never sends it.
+test('requests that arrive too slowly time out', async (t) => {
   const rig = await listen(t, { limits: { headersLimitMs: 50, requestLimitMs: 50 } });
-  const dribble = exchange(rig.port, `GET /services/pots/1 HTTP/1.1\r\nhost: i`);
-  const silent = exchange(rig.port, request('PUT /services/pots/1', 'content-length: 9\r\n'));
-  t.regex(await dribble, /408/);
-  t.regex(await silent, /408|400/);
+  const slowHeaders = exchange(rig.port, `GET /services/pots/1 HTTP/1.1\r\nhost: i`);
+  const missingBody = exchange(rig.port, request('PUT /services/pots/1', 'content-length: 9\r\n'));
+  t.regex(await slowHeaders, /408/);
+  t.regex(await missingBody, /408|400/);
 });
 
-test('a body beyond the bound is refused before it is sent', async (t) => {
+test('a body over the size limit is refused before it has been received', async (t) => {
   const rig = await listen(t, { limits: { maxBodyBytes: 10 } });
   const announced = request('PUT /services/pots/1', 'content-length: 11\r\n');
   t.regex(await exchange(rig.port, announced), /^HTTP\/1.1 413 [^]*"ran":"notRun"/);
@@ -140,9 +141,9 @@
   t.regex(await exchange(rig.port, chunked + body), /^HTTP\/1.1 413 /);
 });
 
-// Many callers each send a body within the bound and leave it unanswered for long: together they
-// would take the instance's memory.
-test('bodies are bounded together, and room comes back when answers end', async (t) => {
+// Guards against running out of memory: many callers each send a body within the size limit, and
+// their requests stay unanswered for long.
+test('the total size of bodies is bounded, and is freed when responses end', async (t) => {
   let answerFirst: (answer: ServiceAnswer) => void = () => undefined;
   let arrive: () => void = () => undefined;
   const arrived = new Promise<void>((resolve) => {
@@ -167,9 +168,9 @@
   t.regex(await put('third'), /^HTTP\/1.1 200 /);
 });
 
-// A coordinator takes half a plan for the whole one: the answer broke off, and the stream ended like
-// any other. It ends in an error that says so, without a final frame.
-test('an error after the first token is the explicit end of the stream', async (t) => {
+// Guards against taking half an answer for the whole one: if the answer breaks off, the stream must
+// not end like a complete one. It ends with an error event, without a final frame.
+test('an error after the first token ends the stream with an error event', async (t) => {
   async function* frames(): AsyncIterable<ChatFrame> {
     yield { kind: 'token', requestId: 'r1' as RequestId, sequence: 0, text: 'half' };
     throw new RouterError('upstreamFailed', 'the connection broke');
--- a/packages/callers/src/endToEndHeaders/index.ts
+++ b/packages/callers/src/endToEndHeaders/index.ts
@@ -1,9 +1,9 @@
 /**
- * Which headers pass through an instance.
+ * Selects the headers that an instance forwards.
  */
 
-/** Headers about one connection (RFC 9110, section 7.6.1), and those that each side makes anew. */
-const ownHeaders = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that each side generates anew. */
+const excludedHeaders = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -16,17 +16,17 @@
   'host',
   'expect',
   'content-length',
-  // The account's secret key is between caller and instance.
+  // The account's secret key must not reach upstreams.
   'authorization',
 ]);
 
 type HeaderValue = string | readonly string[] | undefined;
 
 /**
- * Leaves out what is about one connection only, also headers that `Connection` names.
+ * Removes hop-by-hop headers, including those listed in `Connection`.
  *
  * @param headers - as received, names in lower case
- * @returns the headers that the other side gets
+ * @returns the headers to forward
  *
  * @example
  * endToEndHeaders({ connection: 'x-hop', 'x-hop': '1', etag: 'a' });
@@ -35,25 +35,25 @@
 export function endToEndHeaders<Value extends HeaderValue>(
   headers: Readonly<Record<string, Value>>,
 ): Record<string, Exclude<Value, undefined>> {
-  const named = new Set(namedByConnection(headers.connection));
-  const passed = Object.entries(headers).filter(
+  const named = new Set(parseConnectionHeader(headers.connection));
+  const forwarded = Object.entries(headers).filter(
     (entry): entry is [string, Exclude<Value, undefined>] =>
-      entry[1] !== undefined && !ownHeaders.has(entry[0]) && !named.has(entry[0]),
+      entry[1] !== undefined && !excludedHeaders.has(entry[0]) && !named.has(entry[0]),
   );
-  return Object.fromEntries(passed);
+  return Object.fromEntries(forwarded);
 }
 
-function namedByConnection(connection: HeaderValue): string[] {
+function parseConnectionHeader(connection: HeaderValue): string[] {
   const values = typeof connection === 'string' ? [connection] : (connection ?? []);
   return values.flatMap((value) => value.split(',').map((name) => name.trim().toLowerCase()));
 }
 
 /**
- * Like {@link endToEndHeaders}, for names and values in turn as they stood on the wire.
+ * Like {@link endToEndHeaders}, for raw headers: alternating names and values as received.
  *
- * @param headers - names and values in turn
- * @param isKept - whether a header, by its name in lower case, passes as well
- * @returns names and values in turn, repeated headers included
+ * @param headers - alternating names and values
+ * @param isKept - additional filter by name, in lower case
+ * @returns alternating names and values, including repeated headers
  *
  * @example
  * endToEndRawHeaders(['ETag', 'a', 'Connection', 'close']);
@@ -65,16 +65,17 @@
 ): string[] {
   const named = new Set<string>();
   forEachRawHeader(headers, (name, value) => {
-    if (name === 'connection') namedByConnection(value).forEach((other) => named.add(other));
+    if (name === 'connection') parseConnectionHeader(value).forEach((other) => named.add(other));
   });
-  const passed: string[] = [];
+  const forwarded: string[] = [];
   forEachRawHeader(headers, (name, value, rawName) => {
-    if (!ownHeaders.has(name) && !named.has(name) && isKept(name)) passed.push(rawName, value);
+    if (!excludedHeaders.has(name) && !named.has(name) && isKept(name))
+      forwarded.push(rawName, value);
   });
-  return passed;
+  return forwarded;
 }
 
-/** Visits names and values in turn; names in lower case, and as they stood on the wire. */
+/** Visits each raw header with its name in lower case, its value and its name as received. */
 export function forEachRawHeader(
   headers: readonly string[],
   visit: (name: string, value: string, rawName: string) => void,
--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -1,8 +1,8 @@
 /**
- * Callers as peers: their calls, their answers and the HTTP server between.
+ * The side that faces callers: request handlers, dispatch to upstreams and the HTTP server.
  */
 export type * from './types.js';
-export * from './AnswerStore/index.js';
+export * from './AnswerCache/index.js';
 export * from './SharedAnswer/index.js';
 export * from './EngineDispatch/index.js';
 export * from './ChatHandler/index.js';
--- a/packages/callers/src/parseChatCall/index.ts
+++ b/packages/callers/src/parseChatCall/index.ts
@@ -9,19 +9,19 @@
   stream: z.boolean().optional(),
 });
 
-/** A chat call, and whether the caller wants it streamed. */
+/** A chat call, and whether the caller requested streaming. */
 export interface ParsedChatCall {
   readonly call: ChatCall;
   readonly isStreamed: boolean;
 }
 
 /**
- * Reads a body in the chat completions format.
+ * Parses a request body in the chat completions format.
  *
  * @param identity - who calls
- * @param text - the body
- * @returns the call
- * @throws RouterError `badRequest`, naming the field
+ * @param text - the request body
+ * @returns the call, and whether to stream its answer
+ * @throws RouterError `badRequest`, with the path of the invalid field
  *
  * @example
  * const { call } = parseChatCall(identity, '{"model":"m","messages":[{"role":"user","content":"hi"}]}');
@@ -31,7 +31,7 @@
   if (!result.success) {
     const [issue] = result.error.issues;
     const path = issue?.path.map(String).join('.') ?? '';
-    throw new RouterError('badRequest', `${path || 'body'}: ${issue?.message ?? 'does not fit'}`);
+    throw new RouterError('badRequest', `${path || 'body'}: ${issue?.message ?? 'is invalid'}`);
   }
   const { model, messages, max_tokens: maxTokens, stream } = result.data;
   return { call: { ...identity, model, messages, maxTokens }, isStreamed: stream ?? false };
--- a/packages/callers/src/parseChatCall/test.ts
+++ b/packages/callers/src/parseChatCall/test.ts
@@ -9,14 +9,14 @@
   className: undefined,
 };
 
-test('names the field that does not fit', (t) => {
+test('an error names the invalid field', (t) => {
   t.throws(() => parseChatCall(identity, '{"model":"m","messages":[{"role":"user"}]}'), {
     message: /messages\.0\.content/,
   });
   t.throws(() => parseChatCall(identity, '{'), { message: /not JSON/ });
 });
 
-test('takes a good body', (t) => {
+test('parses a valid body', (t) => {
   const body =
     '{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":5,"stream":true}';
   const { call, isStreamed } = parseChatCall(identity, body);
--- a/packages/callers/src/readBody/index.ts
+++ b/packages/callers/src/readBody/index.ts
@@ -1,26 +1,27 @@
 /**
- * Reads a request's body, bounded.
+ * Reads a request body up to a size limit.
  */
 import { RouterError } from '@acaciacrank/base';
 import type { IncomingMessage } from 'node:http';
 import type { HeldBytes } from '../ByteBudget/index.js';
 
 /**
- * Reads the whole body. How long a sender may take is bounded by the server's request timeout.
+ * Reads the whole body. The server's request timeout bounds how long this takes.
  *
- * @param request - whose body
- * @param maxBytes - the largest body
- * @param held - counts what is held
- * @throws RouterError `tooLarge` as soon as the bound is passed or announced, `overloaded`, or
- * `badRequest` when the body does not arrive whole; nothing has run then
+ * @param request - the request to read from
+ * @param maxBytes - largest body allowed
+ * @param held - counts the bytes held in memory
+ * @throws RouterError `tooLarge` as soon as `content-length` or the body exceeds the limit,
+ * `overloaded`, or `badRequest` if the body is truncated; the request has not run in any of these
+ * cases
  */
 export async function readBody(
   request: IncomingMessage,
   maxBytes: number,
   held: HeldBytes,
 ): Promise<Buffer> {
-  const announcedBytes = Number(request.headers['content-length'] ?? 0);
-  if (announcedBytes > maxBytes) throw tooLarge(maxBytes);
+  const declaredBytes = Number(request.headers['content-length'] ?? 0);
+  if (declaredBytes > maxBytes) throw tooLarge(maxBytes);
   const chunks: Buffer[] = [];
   let bytes = 0;
   try {
@@ -33,7 +34,7 @@
   } catch (error) {
     if (error instanceof RouterError) throw error;
     const cause = error as Error;
-    throw new RouterError('badRequest', 'the body did not arrive whole', { cause });
+    throw new RouterError('badRequest', 'the request body is truncated', { cause });
   }
   return Buffer.concat(chunks);
 }
--- a/packages/callers/src/writeError/index.ts
+++ b/packages/callers/src/writeError/index.ts
@@ -1,23 +1,24 @@
 /**
- * Errors as callers see them.
+ * Error responses to callers.
  */
 import { millisecondsInSecond, type Random, type RouterError } from '@acaciacrank/base';
 import type { ServerResponse } from 'node:http';
 
-/** The least time over which callers are spread, in milliseconds. */
-const leastSpreadMs = 500;
+/** Minimum width of the interval from which the jitter is drawn, in milliseconds. */
+const minSpreadMs = 500;
 
 /**
- * Spreads the time to come back over three times the stated one.
+ * Adds jitter to a retry time, up to three times the given one.
  *
- * Guards against a second wave: when one instance of five is lost, its callers are refused at the
- * same moment elsewhere, and told the same time they would all come back at the same moment again.
+ * Guards against a second wave of retries: if one instance of five is lost, its callers are refused
+ * by the others at the same moment, and with the same retry time they would all retry at the same
+ * moment again.
  */
-export function spreadRetryAfterMs(retryAfterMs: number, random: Random): number {
-  return Math.round(retryAfterMs + random() * Math.max(2 * retryAfterMs, leastSpreadMs));
+export function addRetryJitterMs(retryAfterMs: number, random: Random): number {
+  return Math.round(retryAfterMs + random() * Math.max(2 * retryAfterMs, minSpreadMs));
 }
 
-/** The JSON that names an error, whether the request ran, and when to come back. */
+/** The JSON body for an error: its kind, whether the request ran, and when to retry. */
 export function errorBody(error: RouterError, random: Random) {
   const { retryAfterMs } = error;
   return {
@@ -27,7 +28,7 @@
       ran: error.ran,
       claimScope: error.claimScope,
       remedy: error.remedy,
-      retryAfterMs: retryAfterMs === undefined ? null : spreadRetryAfterMs(retryAfterMs, random),
+      retryAfterMs: retryAfterMs === undefined ? null : addRetryJitterMs(retryAfterMs, random),
     },
   };
 }
@@ -35,13 +36,13 @@
 /** Options of {@link writeError}. */
 export interface WriteErrorOptions {
   /**
-   * The step to which the time to come back is rounded up, in milliseconds: whole seconds as in RFC
-   * 9110 by default, less for callers that are known to read fractions.
+   * `Retry-After` is rounded up to a multiple of this step, in milliseconds. Defaults to whole
+   * seconds, as RFC 9110 requires; smaller for callers known to accept fractions.
    */
   retryAfterStepMs?: number;
 }
 
-/** Writes an error as a whole answer. */
+/** Writes an error as a complete response. */
 export function writeError(
   response: ServerResponse,
   error: RouterError,
@@ -57,7 +58,7 @@
       (Math.ceil(retryAfterMs / stepMs) * stepMs) / millisecondsInSecond,
     );
   }
-  // What is left of a body that was refused is not read: the connection ends with the answer.
+  // The rest of a refused body is not read, so the connection is closed after the response.
   if (!response.req.complete) headers.connection = 'close';
   response.writeHead(error.httpStatus, headers);
   response.end(JSON.stringify(body));
--- a/packages/callers/src/writeError/test.ts
+++ b/packages/callers/src/writeError/test.ts
@@ -1,27 +1,28 @@
 import test from 'ava';
 import { createRandom } from '@acaciacrank/base';
-import { spreadRetryAfterMs } from './index.js';
+import { addRetryJitterMs } from './index.js';
 
-// One instance of five is lost at noon. A thousand callers are refused elsewhere within the same
-// second; told the same time, they would all come back within one second again, and be refused again.
-test('callers that were refused together do not come back together', (t) => {
+// Guards against synchronized retries: one instance of five is lost, and a thousand callers are
+// refused by the others within the same second. With the same retry time they would all retry
+// within one second again, and be refused again.
+test('callers refused at the same time retry at different times', (t) => {
   const random = createRandom(3);
   const perBucket = new Map<number, number>();
   for (let caller = 0; caller < 1_000; caller += 1) {
-    const bucket = Math.floor(spreadRetryAfterMs(2_000, random) / 500);
+    const bucket = Math.floor(addRetryJitterMs(2_000, random) / 500);
     perBucket.set(bucket, (perBucket.get(bucket) ?? 0) + 1);
   }
   t.is(perBucket.size, 8);
   t.true(Math.max(...perBucket.values()) < 170);
 });
 
-test('nobody is told to come back before the stated time', (t) => {
+test('the retry time is never shorter than the given one', (t) => {
   t.is(
-    spreadRetryAfterMs(2_000, () => 0),
+    addRetryJitterMs(2_000, () => 0),
     2_000,
   );
   t.is(
-    spreadRetryAfterMs(0, () => 0.5),
+    addRetryJitterMs(0, () => 0.5),
     250,
   );
 });
