--- a/packages/upstreams/src/EngineClient/index.ts
+++ b/packages/upstreams/src/EngineClient/index.ts
@@ -11,27 +11,27 @@
   OrderRequest,
 } from '../types.js';
 
-/** One model engine instance, as this system speaks to it. */
+/** A client for one model engine. */
 export abstract class EngineClient {
-  /** What is learnt of the gaps between this engine's tokens. */
+  /** Adaptive timeout for the gaps between this engine's tokens. */
   readonly tokenGaps = new ProgressBound({ floorMs: 1_000, ceilingMs: 10_000 });
-  /** What is learnt of this engine's time to the first token, which waits and prompts make long. */
+  /** Adaptive timeout for this engine's first token, which queueing and long prompts delay. */
   readonly firstTokens = new ProgressBound({ floorMs: 2_000, ceilingMs: 30_000 });
 
   /**
    * Starts a generation.
    *
-   * @throws RouterError `upstreamUnavailable` when the engine certainly did not take the request,
-   * `upstreamFailed` when the stream broke off and may be resumed
+   * @throws RouterError `upstreamUnavailable` if the engine certainly did not accept the request,
+   * `upstreamFailed` if the stream broke off and may be resumed
    */
   abstract generate(request: GenerateRequest, signal: AbortSignal): AsyncIterable<EngineFrame>;
 
   /**
-   * Takes up a stream again from a token offset, on another connection.
+   * Resumes a stream from a token offset, on another connection.
    *
-   * @param requestId - the generation to take up
-   * @param offset - the sequence of the first token wanted
-   * @throws RouterError `notFound` when the engine no longer has it
+   * @param requestId - the generation to resume
+   * @param offset - the sequence number of the first token to send
+   * @throws RouterError `notFound` if the engine no longer has the generation
    */
   abstract resume(
     requestId: RequestId,
@@ -39,26 +39,26 @@
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame>;
 
-  /** Ends a generation that nobody waits for; idempotent. */
+  /** Cancels a generation that is no longer needed; idempotent. */
   abstract cancel(requestId: RequestId): Promise<void>;
 
   /**
-   * What the engine did for a generation that was cancelled, for engines that say so.
+   * Reads the usage of a cancelled generation, for engines that report it.
    *
-   * @returns undefined when the engine does not say
+   * @returns undefined if the engine does not report it
    */
   readUsage(requestId: RequestId): Promise<EngineUsage | undefined> {
     void requestId;
     return Promise.resolve(undefined);
   }
 
-  /** The engine's latest load report. */
+  /** Reads the engine's latest load report. */
   abstract readLoad(): Promise<LoadReport>;
 
   /**
-   * What changed in the engine's prefix cache after an event, for engines that publish it.
+   * Reads the changes of the engine's prefix cache after an event, for engines that publish them.
    *
-   * @param sinceSequence - the last event that was read; 0 for all that the engine still has
+   * @param sinceSequence - the last event that was read; 0 for all events that the engine still has
    */
   readCacheEvents(sinceSequence: number): Promise<readonly CacheEvent[]> {
     void sinceSequence;
@@ -66,22 +66,22 @@
   }
 
   /**
-   * Gives an order; only the holder of the service's order lease does. An order names a state to
-   * reach, so that giving it again changes nothing.
+   * Sends an order; only the holder of the service's order lease may do so. Orders are idempotent:
+   * each names a desired state.
    *
-   * @param request - the order and the giver's fencing number
-   * @param signal - gives the order up; it may have been taken then
-   * @returns how the engine took it
-   * @throws RouterError when it is not known whether the engine took it
+   * @param request - the order and the sender's fencing token
+   * @param signal - aborts the order, which may have taken effect nevertheless
+   * @returns how the engine responded
+   * @throws RouterError if it is unknown whether the engine accepted the order
    */
   order(request: OrderRequest, signal: AbortSignal): Promise<OrderOutcome> {
     void signal;
-    const message = `the engine takes no order ${request.order.kind}`;
+    const message = `the engine does not support the order ${request.order.kind}`;
     return Promise.reject(new RouterError('notFound', message));
   }
 
-  /** What the engine reports of what it holds, for engines that take orders. */
+  /** Reads the state that the engine reports, for engines that accept orders. */
   readState(): Promise<EngineState> {
-    return Promise.reject(new RouterError('notFound', 'the engine does not report what it holds'));
+    return Promise.reject(new RouterError('notFound', 'the engine does not report its state'));
   }
 }
--- a/packages/upstreams/src/HttpEngineClient/index.ts
+++ b/packages/upstreams/src/HttpEngineClient/index.ts
@@ -6,8 +6,8 @@
 import { ConnectionPool } from '../_lib/ConnectionPool/index.js';
 import { engineStateSchema, orderOutcomeSchema } from '../_lib/orderSchemas/index.js';
 import { loadReportSchema } from '../_lib/loadReportSchema/index.js';
-import { neverReached } from '../_lib/neverReached/index.js';
-import { readJson, shortAnswerLimitMs } from '../_lib/readJson/index.js';
+import { isConnectFailure } from '../_lib/isConnectFailure/index.js';
+import { controlRequestTimeoutMs, readJson } from '../_lib/readJson/index.js';
 import type {
   EngineFrame,
   EngineState,
@@ -25,9 +25,9 @@
   clock: Clock;
 }
 
-/** Statuses by which an engine says that it did not take a request. */
+/** Statuses of an engine that did not accept the request. */
 const refusedStatuses = new Set([400, 401, 403, 404, 405, 413, 414, 415, 422, 429, 431, 503]);
-/** Statuses by which an engine says that it does not have a stream. */
+/** Statuses of an engine that does not have the stream. */
 const unknownStreamStatuses = new Set([404, 410]);
 const maxConnections = 256;
 
@@ -53,7 +53,7 @@
   outputTokens: z.number().int().nonnegative(),
 });
 
-/** An engine over HTTP with server-sent events. */
+/** Client for an engine over HTTP with server-sent events. */
 export class HttpEngineClient extends EngineClient implements AsyncDisposable {
   readonly #pool: ConnectionPool;
   readonly #clock: Clock;
@@ -74,7 +74,8 @@
     const answer = await this.#open('POST', '/v1/generate', signal, body);
     if (answer.statusCode !== 200) {
       discard(answer);
-      // Only a status that refuses says that nothing runs: a 500 or 504 may come after the take.
+      // Only these statuses mean that nothing runs: a 500 or 504 may follow after the request was
+      // accepted.
       const kind = refusedStatuses.has(answer.statusCode)
         ? 'upstreamUnavailable'
         : 'upstreamFailed';
@@ -88,7 +89,7 @@
     offset: number,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
-    // The pool's other connections may be as silent as the one that this stream came from.
+    // The pool's other connections may be as dead as the one on which the stream broke off.
     this.#pool.retire();
     const path = `/v1/streams/${encodeURIComponent(requestId)}?offset=${offset}`;
     const answer = await this.#open('GET', path, signal);
@@ -105,7 +106,10 @@
     const send = (signal: AbortSignal) => this.#open('DELETE', path, signal);
     const what = `cancelling ${requestId}`;
     discard(
-      await withTimeout(this.#clock, shortAnswerLimitMs, send, { kind: 'upstreamFailed', what }),
+      await withTimeout(this.#clock, controlRequestTimeoutMs, send, {
+        kind: 'upstreamFailed',
+        what,
+      }),
     );
   }
 
@@ -125,7 +129,10 @@
       return orderOutcomeSchema.parse(await answer.body.json());
     }
     discard(answer);
-    throw new RouterError('upstreamFailed', `the engine answered an order ${answer.statusCode}`);
+    throw new RouterError(
+      'upstreamFailed',
+      `the engine answered an order with status ${answer.statusCode}`,
+    );
   }
 
   override async readState(): Promise<EngineState> {
@@ -137,7 +144,7 @@
     return this.#pool[Symbol.asyncDispose]();
   }
 
-  /** Opens a stream; how long it may stay silent is for the caller's signal to bound. */
+  /** Sends a request; it has no timeout of its own and is bounded by the caller's signal. */
   async #open(
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
@@ -153,19 +160,19 @@
         ...(body === undefined ? {} : { body }),
       });
     } catch (error) {
-      throw connectionError(error as Error);
+      throw toRouterError(error as Error);
     }
   }
 }
 
-/** Lets go of an answer whose body is of no use, without waiting for its end. */
+/** Discards a response body in the background. */
 function discard(answer: Dispatcher.ResponseData): void {
   answer.body.dump().catch(() => undefined);
 }
 
-function connectionError(error: Error): RouterError {
+function toRouterError(error: Error): RouterError {
   if (error instanceof RouterError) return error;
-  if (neverReached(error)) {
+  if (isConnectFailure(error)) {
     return new RouterError('upstreamUnavailable', 'the engine cannot be reached', { cause: error });
   }
   return new RouterError('upstreamFailed', 'the connection to the engine broke', { cause: error });
@@ -185,6 +192,6 @@
       yield* ready.splice(0);
     }
   } catch (error) {
-    throw connectionError(error as Error);
+    throw toRouterError(error as Error);
   }
 }
--- a/packages/upstreams/src/HttpServiceClient/index.ts
+++ b/packages/upstreams/src/HttpServiceClient/index.ts
@@ -3,7 +3,7 @@
 import { ServiceClient } from '../ServiceClient/index.js';
 import { ConnectionPool } from '../_lib/ConnectionPool/index.js';
 import { loadReportSchema } from '../_lib/loadReportSchema/index.js';
-import { neverReached } from '../_lib/neverReached/index.js';
+import { isConnectFailure } from '../_lib/isConnectFailure/index.js';
 import { readJson } from '../_lib/readJson/index.js';
 import type { LoadReport, ServiceAnswer, ServiceRequest } from '../types.js';
 
@@ -12,13 +12,13 @@
   /** `http://IP:PORT` of the service. */
   url: string;
   clock: Clock;
-  /** The largest answer, in bytes. */
+  /** Largest response body, in bytes. */
   maxAnswerBytes?: number;
 }
 
 const maxConnections = 64;
 
-/** A plain service over HTTP. */
+/** Client for a plain service over HTTP. */
 export class HttpServiceClient extends ServiceClient implements AsyncDisposable {
   readonly #pool: ConnectionPool;
   readonly #options: Required<HttpServiceClientOptions>;
@@ -34,13 +34,14 @@
       const answer = await this.#send(serviceRequest, signal);
       return {
         status: answer.statusCode,
-        headers: presentHeaders(answer),
+        headers: definedHeaders(answer),
         body: await this.#readBody(answer),
       };
     } catch (error) {
-      // What failed or was given up may have been a silent connection, and then all are.
+      // The call may have failed on a dead connection, and then all connections of the pool may be
+      // dead.
       this.#pool.retire();
-      throw callError(error as Error);
+      throw toRouterError(error as Error);
     }
   }
 
@@ -64,7 +65,10 @@
     });
   }
 
-  /** Reads no more than the bound: the connection's own back-pressure holds the service's rest. */
+  /**
+   * Reads at most `maxAnswerBytes`; the connection's backpressure stops the service from sending
+   * more.
+   */
   async #readBody(answer: Dispatcher.ResponseData): Promise<Uint8Array> {
     const { maxAnswerBytes } = this.#options;
     const chunks: Uint8Array[] = [];
@@ -72,7 +76,7 @@
     for await (const chunk of answer.body as AsyncIterable<Uint8Array>) {
       bytes += chunk.byteLength;
       if (bytes > maxAnswerBytes) {
-        const message = `the service's answer has more than ${maxAnswerBytes} bytes`;
+        const message = `the service's response has more than ${maxAnswerBytes} bytes`;
         throw new RouterError('upstreamFailed', message, { ran: 'ran' });
       }
       chunks.push(chunk);
@@ -81,16 +85,16 @@
   }
 }
 
-function presentHeaders(answer: Dispatcher.ResponseData): ServiceAnswer['headers'] {
+function definedHeaders(answer: Dispatcher.ResponseData): ServiceAnswer['headers'] {
   const headers = Object.entries(answer.headers).filter(
     (entry): entry is [string, string | string[]] => entry[1] !== undefined,
   );
   return Object.fromEntries(headers);
 }
 
-function callError(error: Error): RouterError {
+function toRouterError(error: Error): RouterError {
   if (error instanceof RouterError) return error;
-  if (neverReached(error)) {
+  if (isConnectFailure(error)) {
     return new RouterError('upstreamUnavailable', 'the service cannot be reached', {
       cause: error,
     });
--- a/packages/upstreams/src/HttpServiceClient/test.ts
+++ b/packages/upstreams/src/HttpServiceClient/test.ts
@@ -23,12 +23,12 @@
 
 interface Peer {
   readonly url: string;
-  /** Requests that reached the peer, by the first word of each. */
+  /** Methods of the requests that reached the peer. */
   readonly seen: string[];
   readonly sockets: Socket[];
 }
 
-/** A peer on a bare socket; it answers each request as it is told. */
+/** Starts a raw TCP server that lets the test respond to each request. */
 async function startPeer(
   t: ExecutionContext,
   onRequest: (socket: Socket, index: number) => void,
@@ -62,8 +62,8 @@
 
 const noSignal = () => new AbortController().signal;
 
-/** Lets an answered connection return to the pool. */
-async function backToPool(): Promise<void> {
+/** Waits until a connection has returned to the pool after its response. */
+async function waitForPoolReturn(): Promise<void> {
   for (let turn = 0; turn < 3; turn += 1) await new Promise(setImmediate);
 }
 
@@ -72,33 +72,33 @@
   return undefined;
 }
 
-// A family pays twice: the booking service closes an idle connection just as a confirmation is
-// written to it. The router sees a reset before the first byte of an answer, takes it for "not run"
-// and sends the confirmation again. Whether it ran is not known, and it is sent once.
-test('a pooled connection closed under a call leaves its outcome open', async (t) => {
+// Guards against charging a customer twice: the service closes an idle connection just as a
+// confirmation is written to it. A reset before the first response byte does not mean that the call
+// did not run. The outcome is unknown, so the confirmation must not be sent again.
+test('a pooled connection that is closed during a call makes its outcome unknown', async (t) => {
   const peer = await startPeer(t, (socket, index) => {
     if (index === 0) socket.write(okAnswer);
     else socket.destroy();
   });
   await using client = new HttpServiceClient({ url: peer.url, clock: new ManualClock() });
   t.is((await client.call(confirmation, noSignal())).status, 200);
-  await backToPool();
+  await waitForPoolReturn();
   const error = await t.throwsAsync(client.call(confirmation, noSignal()));
   t.like(error, { kind: 'outcomeUnknown', ran: 'unknown' });
   t.deepEqual(peer.seen, ['POST', 'POST']);
   t.is(peer.sockets.length, 1);
 });
 
-// The same on a call that may be repeated: the HTTP library must not send it again by itself, or
-// retries happen that no retry budget counts.
-test('the HTTP library repeats nothing by itself', async (t) => {
+// The same for an idempotent call: the HTTP library must not retry it by itself, since such a retry
+// would not be counted by any retry budget.
+test('the HTTP library does not retry by itself', async (t) => {
   const peer = await startPeer(t, (socket) => socket.destroy());
   await using client = new HttpServiceClient({ url: peer.url, clock: new ManualClock() });
   await t.throwsAsync(client.call({ ...confirmation, method: 'GET' }, noSignal()));
   t.deepEqual(peer.seen, ['GET']);
 });
 
-test('only a connection that never came about says that nothing ran', async (t) => {
+test('only a connection that was never established means that nothing ran', async (t) => {
   const server = createServer();
   const port = await listen(server);
   await new Promise((resolve) => server.close(resolve));
@@ -110,7 +110,7 @@
   t.like(await t.throwsAsync(firstFrame(engine.generate(generation, noSignal()))), refused);
 });
 
-test('a call given up in the middle leaves its outcome open', async (t) => {
+test('a call that is aborted while it is running has an unknown outcome', async (t) => {
   const abort = new AbortController();
   const peer = await startPeer(t, () => {
     abort.abort();
@@ -120,7 +120,7 @@
   t.like(error, { kind: 'outcomeUnknown', ran: 'unknown' });
 });
 
-test('an answer beyond the bound is not read to its end, and the call counts as run', async (t) => {
+test('a response over the size limit is cut off, and the call counts as run', async (t) => {
   const peer = await startPeer(t, (socket) => socket.write(okAnswer));
   const clock = new ManualClock();
   await using client = new HttpServiceClient({ url: peer.url, clock, maxAnswerBytes: 1 });
@@ -128,8 +128,9 @@
   t.like(error, { kind: 'upstreamFailed', ran: 'ran' });
 });
 
-// A caller is told "not run" though the engine generates: a 500 came after the request was taken.
-test("only an engine's refusals say that it did not take a request", async (t) => {
+// Guards against telling a caller that nothing ran while the engine generates: a 500 may follow
+// after the request was accepted.
+test("only an engine's refusal statuses claim that the request did not run", async (t) => {
   const statuses = [503, 429, 500, 504];
   const peer = await startPeer(t, (socket, index) => {
     socket.write(`HTTP/1.1 ${statuses[index] ?? 0} x\r\ncontent-length: 0\r\n\r\n`);
@@ -148,12 +149,13 @@
   ]);
 });
 
-// Every retry of a review hangs: a device has lost all connections between instance and engine, and
-// each retry takes the next dead one out of the pool. A resume opens a new one.
-test('a resume does not use the connections of the stream that fell silent', async (t) => {
+// Guards against retries that all hang: a device has dropped all connections between instance and
+// engine, and each retry would take the next dead one from the pool. A resume opens a new
+// connection.
+test('a resume does not use the old connections after a stall', async (t) => {
   const frame = { kind: 'token', requestId: 'r1', sequence: 0, text: 'x' };
   const peer = await startPeer(t, (socket, index) => {
-    // The first answer puts its connection into the pool; from then on that connection is silent.
+    // The first response returns its connection to the pool; from then on that connection is dead.
     if (index === 0) socket.write(okAnswer);
     if (socket === peer.sockets[0]) return;
     socket.write('HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n');
@@ -161,25 +163,25 @@
   });
   await using engine = new HttpEngineClient({ url: peer.url, clock: new ManualClock() });
   await engine.cancel('r0' as RequestId);
-  await backToPool();
+  await waitForPoolReturn();
   t.deepEqual(await firstFrame(engine.resume('r1' as RequestId, 0, noSignal())), frame);
   t.is(peer.sockets.length, 2);
 });
 
-// Each retry of an availability check hangs on the next dead connection of the pool, and the caller
-// books elsewhere. After one call was given up, the next one opens a new connection.
-test('a call that was given up takes the pool with it', async (t) => {
+// Guards against retries that all hang, each on the next dead connection of the pool. After one
+// call was aborted, the next one opens a new connection.
+test('an aborted call replaces the connection pool', async (t) => {
   const held: Socket[] = [];
   const peer = await startPeer(t, (socket, index) => {
     if (index < 2) held.push(socket);
-    // Two calls at once make two connections; both are answered, then both fall silent.
+    // Two concurrent calls open two connections; both get a response, then both are dead.
     if (index === 1) for (const each of held) each.write(okAnswer);
     if (!held.includes(socket)) socket.write(okAnswer);
   });
   const clock = new ManualClock();
   await using client = new HttpServiceClient({ url: peer.url, clock });
   await Promise.all([1, 2].map(() => client.call(confirmation, noSignal())));
-  await backToPool();
+  await waitForPoolReturn();
   const abort = new AbortController();
   const silent = t.throwsAsync(client.call(confirmation, abort.signal));
   while (peer.seen.length < 3) await new Promise(setImmediate);
@@ -187,13 +189,14 @@
   await silent;
   t.is(peer.sockets.length, 2);
   t.is((await client.call(confirmation, noSignal())).status, 200);
-  // The second connection of the old pool would have been free as well, and as silent.
+  // The second connection of the old pool would have been free too, but just as dead.
   t.true(peer.sockets.length > 2);
 });
 
-// An upstream looks idle for ever and draws all requests: the poll of its load report hangs on a
-// silent connection. The poll ends by the clock and the next one opens a new connection.
-test('a load report on a silent connection is given up', async (t) => {
+// Guards against an upstream that seems idle forever and attracts all requests: the poll of its
+// load report hangs on a dead connection. The poll times out and the next one opens a new
+// connection.
+test('a load report on a dead connection times out', async (t) => {
   const clock = new ManualClock();
   let arrive: () => void = () => undefined;
   const arrived = new Promise<void>((resolve) => {
--- a/packages/upstreams/src/OrderKeeper/index.ts
+++ b/packages/upstreams/src/OrderKeeper/index.ts
@@ -11,7 +11,7 @@
 import type { StoreLease } from '../StoreLease/index.js';
 import type { EngineOrder, OrderOutcome } from '../types.js';
 
-/** One engine and what it is to hold. */
+/** An engine and its desired state. */
 export interface KeptEngine {
   readonly id: UpstreamId;
   readonly engine: EngineClient;
@@ -23,29 +23,30 @@
   clock: Clock;
   metrics: Metrics;
   lease: StoreLease;
-  /** The weight store's rate for the service. */
+  /** Limits model and adapter loads to the weight store's rate for the service. */
   rate: OrderRate;
-  /** The service's engines, as they are to be now; asked in each round. */
+  /** Returns the service's engines with their current desired state; called in each round. */
   engines: () => readonly KeptEngine[];
-  /** How long one order or one report may take, in milliseconds. */
+  /** Timeout for one order or one state report, in milliseconds. */
   orderLimitMs?: number;
-  /** How often the lease is renewed and the engines are compared, in milliseconds. */
+  /** Interval at which the lease is renewed and the engines are reconciled, in milliseconds. */
   roundIntervalMs?: number;
 }
 
 /**
- * Brings a service's engines to what they are to hold, under a lease in the store.
+ * Reconciles a service's engines with their desired state, under a lease in the store.
  *
- * Each round compares what the engines report with their targets and orders the difference. So an
- * order whose answer was lost is seen to have been taken, one that was lost is given again, and what
- * a stale holder did is put right. How near its end the lease may still be used differs between
- * engines that check the fencing number and engines that ignore it.
+ * Each round compares the state that the engines report with their targets and orders the
+ * difference. So an order whose response was lost is seen to have taken effect, a lost order is
+ * sent again, and changes made by a stale lease holder are corrected. How close to its expiry the
+ * lease may still be used differs between engines that check the fencing token and engines that
+ * ignore it.
  */
 export abstract class OrderKeeper implements AsyncDisposable {
   protected readonly options: Required<OrderKeeperOptions>;
   readonly #stop = new AbortController();
   #wasHolder = false;
-  #running: Promise<void> | undefined;
+  #loop: Promise<void> | undefined;
 
   constructor(options: OrderKeeperOptions) {
     this.options = {
@@ -55,18 +56,21 @@
     };
   }
 
-  /** Whether an order may be sent now, given how long the lease is still held. */
-  protected abstract mayOrder(leaseRemainingMs: number): boolean;
+  /** Whether an order may be sent now, given the remaining time of the lease. */
+  protected abstract canSendOrder(leaseRemainingMs: number): boolean;
 
-  /** Whether the lease may be given up early, though an order that timed out may still arrive. */
-  protected abstract mayRelease(): boolean;
+  /**
+   * Whether the lease may be released before it expires, although a timed-out order may still
+   * arrive.
+   */
+  protected abstract canReleaseEarly(): boolean;
 
   /** Runs rounds until disposed of. */
   start(): void {
-    this.#running ??= this.#follow();
+    this.#loop ??= this.#runRounds();
   }
 
-  /** Takes or renews the lease and, as its holder, orders what differs, once. */
+  /** Acquires or renews the lease and, as its holder, reconciles all engines once. */
   async runRound(): Promise<void> {
     const { lease, rate, engines, metrics } = this.options;
     const isHolder = await lease.acquire();
@@ -76,17 +80,17 @@
     }
     this.#wasHolder = isHolder;
     if (!isHolder) return;
-    // One engine that hangs must not keep the others waiting, nor the lease from its renewal.
-    await Promise.all(engines().map((kept) => this.#bringToTarget(kept)));
+    // An engine that hangs must delay neither the other engines nor the renewal of the lease.
+    await Promise.all(engines().map((managed) => this.#reconcile(managed)));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    await this.#running;
-    if (this.mayRelease()) await this.options.lease.release().catch(() => undefined);
+    await this.#loop;
+    if (this.canReleaseEarly()) await this.options.lease.release().catch(() => undefined);
   }
 
-  async #follow(): Promise<void> {
+  async #runRounds(): Promise<void> {
     const { clock, metrics, roundIntervalMs } = this.options;
     while (!this.#stop.signal.aborted) {
       await this.runRound().catch(() => {
@@ -96,13 +100,13 @@
     }
   }
 
-  async #bringToTarget({ engine, target }: KeptEngine): Promise<void> {
+  async #reconcile({ engine, target }: KeptEngine): Promise<void> {
     const { clock, metrics, orderLimitMs } = this.options;
-    const limit = { kind: 'upstreamFailed', what: 'reading what an engine holds' } as const;
+    const limit = { kind: 'upstreamFailed', what: 'reading the state of an engine' } as const;
     try {
       const state = await withTimeout(clock, orderLimitMs, () => engine.readState(), limit);
       for (const order of planOrders(target, state)) {
-        const outcome = await this.#give(engine, order);
+        const outcome = await this.#sendOrder(engine, order);
         if (outcome?.kind !== 'taken') return;
       }
     } catch {
@@ -111,16 +115,16 @@
   }
 
   /**
-   * Gives one order, when it may be given at this very moment.
+   * Sends one order if that is allowed right now.
    *
-   * Guards against a holder that was paused: the lease is looked at by the monotonic clock straight
-   * before the order is sent, with nothing awaited in between.
+   * Guards against a process pause of the holder: the lease is checked by the monotonic clock
+   * immediately before the order is sent, with no await in between.
    */
-  async #give(engine: EngineClient, order: EngineOrder): Promise<OrderOutcome | undefined> {
+  async #sendOrder(engine: EngineClient, order: EngineOrder): Promise<OrderOutcome | undefined> {
     const { clock, lease, metrics, orderLimitMs, rate } = this.options;
-    if (needsWeights(order) && !rate.take()) return undefined;
+    if (loadsWeights(order) && !rate.take()) return undefined;
     const { fencingNumber } = lease;
-    if (fencingNumber === undefined || !this.mayOrder(lease.remainingMs)) return undefined;
+    if (fencingNumber === undefined || !this.canSendOrder(lease.remainingMs)) return undefined;
     metrics.count('ordersGiven', order.kind);
     const outcome = await withTimeout(
       clock,
@@ -130,48 +134,50 @@
     );
     if (outcome.kind === 'rateLimited') rate.pause(outcome.retryAfterMs);
     if (outcome.kind === 'stale') {
-      // An engine has seen a later holder, which outweighs what this instance believes.
-      lease.lose();
+      // The engine has seen a later lease holder, so the local state of the lease is wrong.
+      lease.markLost();
       metrics.count('ordersStale');
     }
     return outcome;
   }
 }
 
-/** For engines that refuse an old fencing number: the lease may be used to its end. */
-export class FencedOrderKeeper extends OrderKeeper {
-  protected override mayOrder(leaseRemainingMs: number): boolean {
+/** For engines that reject an old fencing token: the lease may be used until it expires. */
+export class FencedOrderReconciler extends OrderKeeper {
+  protected override canSendOrder(leaseRemainingMs: number): boolean {
     return leaseRemainingMs > 0;
   }
 
-  protected override mayRelease(): boolean {
+  protected override canReleaseEarly(): boolean {
     return true;
   }
 }
 
-/** How long before the lease's end orders stop besides the time that an order takes. */
+/**
+ * Safety margin before the lease expires, in addition to the timeout of an order, in milliseconds.
+ */
 const unfencedMarginMs = 2 * millisecondsInSecond;
 
 /**
- * For engines that ignore the number: an order must have ended well before the lease does, for
- * nothing stops one that arrives late. The next holder waits out lease and skew before its first
- * order. What a process pause between the last look and the sending lets through, the next round's
- * comparison puts right.
+ * For engines that ignore the fencing token: an order must complete well before the lease expires,
+ * since nothing rejects one that arrives late. The next holder waits for the lease duration and the
+ * clock skew before its first order. An order that slips through because the process was paused
+ * between the check and the send is corrected in the next round.
  */
-export class UnfencedOrderKeeper extends OrderKeeper {
-  protected override mayOrder(leaseRemainingMs: number): boolean {
+export class UnfencedOrderReconciler extends OrderKeeper {
+  protected override canSendOrder(leaseRemainingMs: number): boolean {
     return leaseRemainingMs > this.options.orderLimitMs + unfencedMarginMs;
   }
 
-  protected override mayRelease(): boolean {
+  protected override canReleaseEarly(): boolean {
     return false;
   }
 }
 
 /**
- * Makes the keeper that suits a service's engines.
+ * Creates the reconciler that fits a service's engines.
  *
- * @param checksFencing - what the document says of the service
+ * @param checksFencing - whether the service's engines check the fencing token
  * @param options - the engines and the lease
  *
  * @example
@@ -182,9 +188,9 @@
   checksFencing: boolean,
   options: OrderKeeperOptions,
 ): OrderKeeper {
-  return checksFencing ? new FencedOrderKeeper(options) : new UnfencedOrderKeeper(options);
+  return checksFencing ? new FencedOrderReconciler(options) : new UnfencedOrderReconciler(options);
 }
 
-function needsWeights(order: EngineOrder): boolean {
+function loadsWeights(order: EngineOrder): boolean {
   return order.kind === 'loadModel' || order.kind === 'loadAdapter';
 }
--- a/packages/upstreams/src/OrderRate/index.ts
+++ b/packages/upstreams/src/OrderRate/index.ts
@@ -3,21 +3,21 @@
 /** Options of {@link OrderRate}. */
 export interface OrderRateOptions {
   clock: Clock;
-  /** Loads that the weight store allows this service in a minute. */
+  /** Number of loads per minute that the weight store allows this service. */
   loadsPerMinute: number;
-  /** The most loads at once after a quiet time. */
+  /** Maximum number of loads in a burst. */
   maxBurst?: number;
 }
 
 /**
- * Keeps orders that make engines fetch weights within the weight store's rate.
+ * A token bucket that limits orders which make engines fetch weights to the weight store's rate.
  *
- * It starts empty: a new holder of the lease does not know how many loads the last one ordered just
- * before, and must not add a burst of its own.
+ * The bucket starts empty: a new lease holder does not know how many loads the previous one has
+ * just ordered, and must not add its own burst to them.
  */
 export class OrderRate {
   readonly #options: Required<OrderRateOptions>;
-  #loads = 0;
+  #availableLoads = 0;
   #updatedMs: number;
   #pausedUntilMs = -Infinity;
 
@@ -26,25 +26,25 @@
     this.#updatedMs = options.clock.monotonicMs();
   }
 
-  /** Takes one load; false when it must wait. */
+  /** Takes one load from the bucket; returns false if it must wait. */
   take(): boolean {
     const { clock, loadsPerMinute, maxBurst } = this.#options;
     const nowMs = clock.monotonicMs();
-    const earned = ((nowMs - this.#updatedMs) * loadsPerMinute) / millisecondsInMinute;
-    this.#loads = Math.min(maxBurst, this.#loads + earned);
+    const refilledLoads = ((nowMs - this.#updatedMs) * loadsPerMinute) / millisecondsInMinute;
+    this.#availableLoads = Math.min(maxBurst, this.#availableLoads + refilledLoads);
     this.#updatedMs = nowMs;
-    if (this.#loads < 1 || nowMs < this.#pausedUntilMs) return false;
-    this.#loads -= 1;
+    if (this.#availableLoads < 1 || nowMs < this.#pausedUntilMs) return false;
+    this.#availableLoads -= 1;
     return true;
   }
 
-  /** Forgets what was saved up. */
+  /** Empties the bucket. */
   empty(): void {
-    this.#loads = 0;
+    this.#availableLoads = 0;
     this.#updatedMs = this.#options.clock.monotonicMs();
   }
 
-  /** Orders no loads for a while, because the weight store said so. */
+  /** Pauses loads for a while, at the request of the weight store. */
   pause(durationMs: number): void {
     this.#pausedUntilMs = this.#options.clock.monotonicMs() + durationMs;
   }
--- a/packages/upstreams/src/ProgressBound/index.ts
+++ b/packages/upstreams/src/ProgressBound/index.ts
@@ -1,26 +1,29 @@
 /** Options of {@link ProgressBound}. */
 export interface ProgressBoundOptions {
-  /** No silence shorter than this is a fault, in milliseconds. */
+  /** Lower bound of the timeout, in milliseconds. */
   floorMs: number;
-  /** Every silence longer than this is a fault; also the bound before anything was learnt. */
+  /** Upper bound of the timeout, also used before the first observation, in milliseconds. */
   ceilingMs: number;
 }
 
-/** Weight of a new observation in the running mean, as in TCP's round-trip estimate. */
+/** Weight of a new observation in the moving average, as in TCP's round-trip time estimation. */
 const meanWeight = 1 / 8;
-/** Weight of a new observation in the running deviation. */
+/** Weight of a new observation in the moving mean deviation. */
 const deviationWeight = 1 / 4;
-/** How many deviations above the mean are still ordinary. */
-const ordinaryDeviations = 8;
-/** How many times the mean is still ordinary, however even the gaps were so far. */
-const ordinaryMeans = 4;
+/** The timeout exceeds the mean by this many mean deviations. */
+const deviationFactor = 8;
+/**
+ * The timeout is at least this multiple of the mean, even if the gaps have hardly varied so far.
+ */
+const meanFactor = 4;
 
 /**
- * How long one engine may make no progress before its connection counts as silent.
+ * An adaptive timeout: how long an upstream may make no progress before its connection counts as
+ * stalled.
  *
- * The bound follows that engine's own gaps: their running mean and deviation, within a floor and a
- * ceiling. A fixed bound would either cut off slow engines under load or leave the caller of a fast
- * one waiting on a dead connection.
+ * It follows the moving average and mean deviation of the gaps observed at that upstream, within a
+ * floor and a ceiling. A fixed timeout would either cut off slow engines under load or leave the
+ * caller of a fast one waiting on a dead connection.
  *
  * @example
  * const bound = new ProgressBound({ floorMs: 1_000, ceilingMs: 10_000 });
@@ -36,7 +39,7 @@
     this.#options = options;
   }
 
-  /** Learns from one gap that ended in progress. */
+  /** Adds one observed gap between two signs of progress. */
   observe(gapMs: number): void {
     if (this.#meanMs === undefined) {
       this.#meanMs = gapMs;
@@ -48,12 +51,12 @@
     this.#deviationMs += deviationWeight * (Math.abs(errorMs) - this.#deviationMs);
   }
 
-  /** The longest silence that is still ordinary, in milliseconds. */
+  /** Returns the current timeout, in milliseconds. */
   limitMs(): number {
     const { floorMs, ceilingMs } = this.#options;
     if (this.#meanMs === undefined) return ceilingMs;
-    const byDeviation = this.#meanMs + ordinaryDeviations * this.#deviationMs;
-    const learntMs = Math.max(byDeviation, ordinaryMeans * this.#meanMs);
-    return Math.min(ceilingMs, Math.max(floorMs, learntMs));
+    const byDeviation = this.#meanMs + deviationFactor * this.#deviationMs;
+    const learnedMs = Math.max(byDeviation, meanFactor * this.#meanMs);
+    return Math.min(ceilingMs, Math.max(floorMs, learnedMs));
   }
 }
--- a/packages/upstreams/src/ProgressBound/test.ts
+++ b/packages/upstreams/src/ProgressBound/test.ts
@@ -4,7 +4,7 @@
 
 const options = { floorMs: 1_000, ceilingMs: 10_000 };
 
-test('the bound is the ceiling until something was learnt, and never leaves its range', (t) => {
+test('the timeout is the ceiling before the first observation, and stays within its range', (t) => {
   const bound = new ProgressBound(options);
   t.is(bound.limitMs(), options.ceilingMs);
   for (let count = 0; count < 50; count += 1) bound.observe(20);
@@ -13,9 +13,9 @@
   t.is(bound.limitMs(), options.ceilingMs);
 });
 
-// A review on a slow engine would be taken up again and again though nothing is wrong: its gaps
-// are long and uneven, and a bound made for fast engines calls each of them a fault.
-test('a slow and uneven engine is not called silent', (t) => {
+// Guards against streams of a slow engine being resumed again and again although nothing is wrong:
+// its gaps are long and uneven, and each would exceed a timeout chosen for fast engines.
+test('a slow engine with uneven gaps does not time out', (t) => {
   const bound = new ProgressBound(options);
   const random = createRandom(7);
   let exceeded = 0;
--- a/packages/upstreams/src/ServiceClient/index.ts
+++ b/packages/upstreams/src/ServiceClient/index.ts
@@ -1,21 +1,21 @@
 import { ProgressBound } from '../ProgressBound/index.js';
 import type { LoadReport, ServiceAnswer, ServiceRequest } from '../types.js';
 
-/** One plain service instance, as this system speaks to it. */
+/** A client for one plain service instance. */
 export abstract class ServiceClient {
-  /** What is learnt of the time that this service's answers take. */
+  /** Adaptive timeout for this service's responses. */
   readonly answerTimes = new ProgressBound({ floorMs: 1_000, ceilingMs: 15_000 });
 
   /**
    * Makes one call.
    *
    * @param request - what to call
-   * @param signal - gives the call up; it may have run then
-   * @throws RouterError `upstreamUnavailable` when no byte of the call reached the service,
-   * `outcomeUnknown` when it may have run
+   * @param signal - aborts the call, which may have run nevertheless
+   * @throws RouterError `upstreamUnavailable` if no byte of the call reached the service,
+   * `outcomeUnknown` if it may have run
    */
   abstract call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer>;
 
-  /** The service's latest load report. */
+  /** Reads the service's latest load report. */
   abstract readLoad(): Promise<LoadReport>;
 }
--- a/packages/upstreams/src/StoreLease/index.ts
+++ b/packages/upstreams/src/StoreLease/index.ts
@@ -10,10 +10,10 @@
 const leaseSchema = z.strictObject({
   format: z.literal(1),
   holder: z.string(),
-  /** Differs with each write, so that a holder knows its own write after a lost answer. */
+  /** Unique per write, so that a holder recognizes its own write after a lost response. */
   nonce: z.string(),
   durationMs: z.number().positive(),
-  /** Set by a holder that stops of its own accord: the next one need not wait. */
+  /** Set by a holder that releases the lease: the next one need not wait. */
   isReleased: z.boolean(),
 });
 
@@ -23,41 +23,41 @@
 export interface StoreLeaseOptions {
   store: ObjectStore;
   clock: Clock;
-  /** The lease's object. */
+  /** Key of the lease's object in the store. */
   key: string;
   holder: InstanceId;
-  /** Differs between two lives of the same instance. */
+  /** Differs between two process runs of the same instance. */
   incarnation: string;
-  /** How long the lease lasts after each renewal, in milliseconds. */
+  /** Lease duration after each renewal, in milliseconds. */
   durationMs?: number;
-  /** How much longer than the lease the next holder waits, for clocks that run apart. */
+  /** Additional time that the next holder waits, to allow for clock skew, in milliseconds. */
   maxSkewMs?: number;
 }
 
-interface Held {
+interface HeldLease {
   readonly version: number;
-  /** By the monotonic clock, counted from before the write was sent. */
+  /** Expiry by the monotonic clock, counted from before the write was sent. */
   readonly untilMs: number;
 }
 
-interface Watched {
+interface ObservedVersion {
   readonly version: number;
   readonly sinceMs: number;
 }
 
 /**
- * A lease in one object of the store; the object's version is the fencing number.
+ * A lease stored in one object of the store; the object's version is the fencing token.
  *
- * No wall clock is compared. A holder counts its time from before it sent the write. Another instance
- * takes the lease over only after it has itself seen the same version for the lease's whole duration
- * plus the skew, by its own monotonic clock. So a clock that jumps or a paused holder never makes two
- * holders at once, as long as clocks run at nearly the same rate.
+ * Wall clocks are never compared. A holder counts the duration from before it sent the write.
+ * Another instance takes over the lease only after it has observed the same version for the whole
+ * lease duration plus the clock skew, by its own monotonic clock. So neither a clock jump nor a
+ * paused process leads to two holders at once, as long as clocks run at nearly the same rate.
  */
 export class StoreLease {
   readonly #options: Required<StoreLeaseOptions>;
-  #held: Held | undefined;
-  #watched: Watched | undefined;
-  #writes = 0;
+  #held: HeldLease | undefined;
+  #observed: ObservedVersion | undefined;
+  #writeCount = 0;
 
   constructor(options: StoreLeaseOptions) {
     this.#options = {
@@ -67,21 +67,22 @@
     };
   }
 
-  /** The number to send with orders; undefined when the lease is not held. */
+  /** Fencing token to send with orders; undefined if the lease is not held. */
   get fencingNumber(): number | undefined {
     return this.remainingMs > 0 ? this.#held?.version : undefined;
   }
 
-  /** How long the lease is held for certain, in milliseconds; 0 when it is not. */
+  /** Time for which the lease is certainly still held, in milliseconds; 0 if it is not held. */
   get remainingMs(): number {
     if (this.#held === undefined) return 0;
     return Math.max(0, this.#held.untilMs - this.#options.clock.monotonicMs());
   }
 
   /**
-   * Takes the lease, or renews it.
+   * Acquires or renews the lease.
    *
-   * @returns whether it is held now; false also when the store does not answer
+   * @returns whether it is held now; if the store is unavailable, whether an earlier write still
+   * holds it
    */
   async acquire(): Promise<boolean> {
     try {
@@ -93,40 +94,40 @@
     return this.remainingMs > 0;
   }
 
-  /** Gives the lease up, so that the next holder need not wait; does nothing when it is not held. */
+  /** Releases the lease, so that the next holder need not wait; does nothing if it is not held. */
   async release(): Promise<void> {
     const held = this.#held;
-    this.lose();
+    this.markLost();
     if (held === undefined) return;
     const stored = await this.#options.store.read(this.#options.key);
     if (stored?.version === held.version) await this.#write(stored, true);
-    this.lose();
+    this.markLost();
   }
 
-  /** Stops holding at once, for a holder that learns that it was succeeded. */
-  lose(): void {
+  /** Marks the lease as lost; for a holder that learns that another instance has taken over. */
+  markLost(): void {
     this.#held = undefined;
   }
 
   #mayWrite(stored: StoredObject | undefined): boolean {
     if (stored === undefined) return true;
     if (stored.version === this.#held?.version) return true;
-    // Somebody else wrote since: whatever is left of our time, they were entitled to.
-    this.lose();
+    // Another instance has written since and was entitled to, so any remaining lease time is void.
+    this.markLost();
     const value = leaseSchema.parse(stored.value);
     if (value.isReleased) return true;
     const nowMs = this.#options.clock.monotonicMs();
-    if (this.#watched?.version !== stored.version) {
-      this.#watched = { version: stored.version, sinceMs: nowMs };
+    if (this.#observed?.version !== stored.version) {
+      this.#observed = { version: stored.version, sinceMs: nowMs };
       return false;
     }
-    return nowMs - this.#watched.sinceMs >= value.durationMs + this.#options.maxSkewMs;
+    return nowMs - this.#observed.sinceMs >= value.durationMs + this.#options.maxSkewMs;
   }
 
   async #write(stored: StoredObject | undefined, isReleased: boolean): Promise<void> {
     const { store, clock, key, holder, incarnation, durationMs } = this.#options;
-    this.#writes += 1;
-    const nonce = `${holder}.${incarnation}.${this.#writes}`;
+    this.#writeCount += 1;
+    const nonce = `${holder}.${incarnation}.${this.#writeCount}`;
     const value: LeaseValue = { format: 1, holder, nonce, durationMs, isReleased };
     const untilMs = clock.monotonicMs() + durationMs;
     const condition =
@@ -135,14 +136,14 @@
         : ({ kind: 'version', version: stored.version } as const);
     const version = await store.write(key, value, condition).then(
       (result) => (result.outcome === 'written' ? result.version : undefined),
-      () => this.#findOwn(nonce),
+      () => this.#findOwnWrite(nonce),
     );
-    if (version === undefined) this.lose();
+    if (version === undefined) this.markLost();
     else this.#held = { version, untilMs };
   }
 
-  /** The answer to a write can be lost after it took effect: the nonce says whether it did. */
-  async #findOwn(nonce: string): Promise<number | undefined> {
+  /** The response to a write can be lost after it took effect; the nonce tells whether it did. */
+  async #findOwnWrite(nonce: string): Promise<number | undefined> {
     const stored = await this.#options.store.read(this.#options.key);
     if (stored === undefined) return undefined;
     return leaseSchema.parse(stored.value).nonce === nonce ? stored.version : undefined;
--- a/packages/upstreams/src/_lib/ConnectionPool/index.ts
+++ b/packages/upstreams/src/_lib/ConnectionPool/index.ts
@@ -1,5 +1,5 @@
 /**
- * Pooled connections to one upstream, with a bounded idle age.
+ * A connection pool for one upstream.
  */
 import { millisecondsInSecond, type Clock } from '@acaciacrank/base';
 import { Agent, type Dispatcher } from 'undici';
@@ -7,25 +7,28 @@
 /** Options of {@link ConnectionPool}. */
 export interface ConnectionPoolOptions {
   clock: Clock;
-  /** The most connections at once. */
+  /** Maximum number of connections. */
   connections: number;
 }
 
-/** How long a connection may lie idle, in milliseconds; below what devices on the way allow. */
-const idleLimitMs = 4 * millisecondsInSecond;
-/** The longest idle age that an upstream may ask for, in milliseconds. */
-const longestIdleLimitMs = 15 * millisecondsInSecond;
-/** How long a connection may take to come about, in milliseconds. */
-const connectLimitMs = 2 * millisecondsInSecond;
-/** A pool is replaced at most this often, in milliseconds: its connections are then new anyway. */
-const leastPoolAgeMs = millisecondsInSecond;
+/** Keep-alive timeout of idle connections, in milliseconds; below that of devices on the path. */
+const keepAliveMs = 4 * millisecondsInSecond;
+/** Maximum keep-alive timeout that an upstream may request, in milliseconds. */
+const maxKeepAliveMs = 15 * millisecondsInSecond;
+/** Timeout for establishing a connection, in milliseconds. */
+const connectTimeoutMs = 2 * millisecondsInSecond;
+/**
+ * Minimum age of a pool before it is replaced, in milliseconds: a younger one has only new
+ * connections.
+ */
+const minPoolAgeMs = millisecondsInSecond;
 
 /**
- * Connections that are given up together once one of them was found silent.
+ * A pool whose connections are retired together once one of them is found to be dead.
  *
- * Guards against a device between the two ends that has lost its table: every pooled connection
- * then goes silent at once while new ones work, and each retry that takes the next one out of the
- * pool falls silent too. Requests that run on old connections go on there.
+ * Guards against a device between the two ends that has lost its connection table: all pooled
+ * connections are then dead at once while new ones work, and each retry that takes the next one
+ * from the pool hangs too. Requests in progress on old connections continue there.
  */
 export class ConnectionPool implements AsyncDisposable {
   readonly #options: ConnectionPoolOptions;
@@ -35,22 +38,22 @@
 
   constructor(options: ConnectionPoolOptions) {
     this.#options = options;
-    this.#agent = openAgent(options.connections);
-    this.#openedMs = -leastPoolAgeMs;
+    this.#agent = createAgent(options.connections);
+    this.#openedMs = -minPoolAgeMs;
   }
 
-  /** Where to send the next request. */
+  /** Dispatcher for the next request. */
   get dispatcher(): Dispatcher {
     return this.#agent;
   }
 
-  /** Sends what comes next on new connections. */
+  /** Replaces the pool, so that further requests use new connections. */
   retire(): void {
     const nowMs = this.#options.clock.monotonicMs();
-    if (nowMs - this.#openedMs < leastPoolAgeMs) return;
+    if (nowMs - this.#openedMs < minPoolAgeMs) return;
     const old = this.#agent;
     this.#openedMs = nowMs;
-    this.#agent = openAgent(this.#options.connections);
+    this.#agent = createAgent(this.#options.connections);
     this.#retired.add(old);
     void old
       .close()
@@ -63,14 +66,14 @@
   }
 }
 
-/** The callers of a request bound its time; here only the connect call and idling are bounded. */
-function openAgent(connections: number): Agent {
+/** Sets timeouts for connecting and idling only; a request is bounded by whoever sends it. */
+function createAgent(connections: number): Agent {
   return new Agent({
     connections,
     bodyTimeout: 0,
     headersTimeout: 0,
-    keepAliveTimeout: idleLimitMs,
-    keepAliveMaxTimeout: longestIdleLimitMs,
-    connect: { timeout: connectLimitMs },
+    keepAliveTimeout: keepAliveMs,
+    keepAliveMaxTimeout: maxKeepAliveMs,
+    connect: { timeout: connectTimeoutMs },
   });
 }
--- a/packages/upstreams/src/_lib/loadReportSchema/index.ts
+++ b/packages/upstreams/src/_lib/loadReportSchema/index.ts
@@ -1,9 +1,9 @@
 /**
- * The load report as upstreams publish it.
+ * Schema of the load reports that upstreams publish.
  */
 import { z } from 'zod';
 
-/** Checks a load report. */
+/** Schema of a load report. */
 export const loadReportSchema = z.object({
   upstreamId: z.string(),
   state: z.enum(['live', 'leaving']),
--- a/packages/upstreams/src/_lib/orderSchemas/index.ts
+++ b/packages/upstreams/src/_lib/orderSchemas/index.ts
@@ -1,11 +1,11 @@
 /**
- * What engines answer about orders.
+ * Schemas of engine responses that concern orders.
  */
 import { z } from 'zod';
 
 const modelVersion = z.object({ model: z.string(), version: z.string() });
 
-/** Checks an engine's report of what it holds. */
+/** Schema of the state that an engine reports. */
 export const engineStateSchema = z.object({
   models: z.array(modelVersion),
   adapters: z.array(modelVersion.extend({ adapter: z.string() })),
@@ -14,7 +14,7 @@
   kvExportedTo: z.string().optional(),
 });
 
-/** Checks how an engine took an order. */
+/** Schema of an engine's response to an order. */
 export const orderOutcomeSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('taken') }),
   z.object({ kind: z.literal('stale') }),
--- a/packages/upstreams/src/_lib/readJson/index.ts
+++ b/packages/upstreams/src/_lib/readJson/index.ts
@@ -1,20 +1,21 @@
 /**
- * Reads a small JSON answer of an upstream, bounded in time.
+ * Reads a small JSON response of an upstream within a time limit.
  */
 import { RouterError, withTimeout, type Clock } from '@acaciacrank/base';
 import { request } from 'undici';
 import type { ConnectionPool } from '../ConnectionPool/index.js';
 
-/** How long an upstream may take to answer what is not work, in milliseconds. */
-export const shortAnswerLimitMs = 5_000;
+/** Timeout of requests other than generations and service calls, in milliseconds. */
+export const controlRequestTimeoutMs = 5_000;
 
 /**
- * Reads one JSON answer, headers and body within the limit.
+ * Reads one JSON response, headers and body, within {@link controlRequestTimeoutMs}.
  *
- * Guards against a poll that hangs for good on a connection that fell silent; the pool is replaced,
+ * Guards against a poll that hangs forever on a dead connection: on a failure the pool is replaced,
  * so that the next poll opens a new connection.
  *
- * @throws RouterError `upstreamUnavailable` when there is no whole answer of status 200 in time
+ * @throws RouterError `upstreamUnavailable` if there is no complete response with status 200 in
+ * time
  */
 export async function readJson(clock: Clock, pool: ConnectionPool, url: string): Promise<unknown> {
   const read = async (signal: AbortSignal) => {
@@ -24,7 +25,7 @@
     throw new RouterError('upstreamUnavailable', `${url} answered ${answer.statusCode}`);
   };
   try {
-    return await withTimeout(clock, shortAnswerLimitMs, read, {
+    return await withTimeout(clock, controlRequestTimeoutMs, read, {
       kind: 'upstreamUnavailable',
       what: url,
     });
--- a/packages/upstreams/src/checkFrames/index.ts
+++ b/packages/upstreams/src/checkFrames/index.ts
@@ -2,18 +2,18 @@
 import type { EngineFrame } from '../types.js';
 
 /**
- * Passes on only frames that belong to the request, in order and without a gap, up to the end.
+ * Forwards only frames that belong to the request, in order and without gaps, up to the end frame.
  *
- * Guards against spliced answers: after a reconnect or behind a confused proxy an engine's stream
- * may carry another request's tokens, skip some or stop short. Each shows here as a wrong id, a
- * wrong sequence or a stream without its end frame, before any of it reaches a caller. A token that
- * was already passed on (a resume that starts too early) is dropped.
+ * Guards against spliced answers: after a reconnect or behind a faulty proxy, an engine's stream
+ * may contain tokens of another request, skip tokens or end early. This is detected by a wrong
+ * request id, a wrong sequence number or a missing end frame before any of it reaches a caller. A
+ * token that was already forwarded (after a resume that starts too early) is dropped.
  *
  * @param frames - what the engine sent
- * @param requestId - the request they must belong to
- * @param offset - the sequence of the first token wanted
+ * @param requestId - the request that the frames must belong to
+ * @param offset - the sequence number of the first expected token
  * @returns the checked frames
- * @throws RouterError `upstreamFailed` at the first frame that does not fit
+ * @throws RouterError `upstreamFailed` at the first invalid frame
  *
  * @example
  * for await (const frame of checkFrames(engine.generate(request, signal), request.requestId, 0)) send(frame);
@@ -33,11 +33,17 @@
     }
     if (frame.kind === 'token' && frame.sequence < expected) continue;
     if (frame.sequence !== expected) {
-      throw new RouterError('upstreamFailed', `frame ${frame.sequence} came; ${expected} was due`);
+      throw new RouterError(
+        'upstreamFailed',
+        `received frame ${frame.sequence} where frame ${expected} was due`,
+      );
     }
     yield frame;
     if (frame.kind === 'end') return;
     expected += 1;
   }
-  throw new RouterError('upstreamFailed', `the stream stopped after ${expected} tokens`);
+  throw new RouterError(
+    'upstreamFailed',
+    `the stream stopped after ${expected} tokens without an end frame`,
+  );
 }
--- a/packages/upstreams/src/checkFrames/test.ts
+++ b/packages/upstreams/src/checkFrames/test.ts
@@ -29,20 +29,20 @@
   return sequences;
 }
 
-test('a resumed stream that starts too early passes on only what is new', async (t) => {
+test('tokens that were already forwarded are dropped from a resumed stream', async (t) => {
   t.deepEqual(
     await collect(checkFrames(stream(token(0), token(1), token(2), end(3)), id, 2)),
     [2, 3],
   );
 });
 
-// A caller would read another caller's words: a connection was handed to the wrong request.
-test("another request's token is never passed on", async (t) => {
+// Guards against exposing another caller's answer: a connection was assigned to the wrong request.
+test("another request's token is never forwarded", async (t) => {
   const frames = stream(token(0), token(1, 'r2' as RequestId), end(2));
   await t.throwsAsync(collect(checkFrames(frames, id, 0)), { message: /a frame of r2 came/ });
 });
 
-// A caller would get an answer with a hole: frames were lost between two connections.
+// Guards against an answer with missing tokens: frames were lost between two connections.
 test('a gap and a missing end are errors', async (t) => {
   await t.throwsAsync(collect(checkFrames(stream(token(0), token(2)), id, 0)), {
     message: /1 was due/,
--- a/packages/upstreams/src/index.ts
+++ b/packages/upstreams/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams as peers: model engines and plain services.
+ * Clients for upstreams (model engines and plain services), and the reconciliation of engine state.
  */
 export type * from './types.js';
 export * from './EngineClient/index.js';
--- a/packages/upstreams/src/planOrders/index.ts
+++ b/packages/upstreams/src/planOrders/index.ts
@@ -7,23 +7,24 @@
   ModelVersion,
 } from '../types.js';
 
-/** What one engine is to hold and do. */
+/** The desired state of one engine. */
 export interface EngineTarget {
   readonly models: readonly ModelVersion[];
   readonly adapters: readonly AdapterVersion[];
   readonly role: EngineRole;
-  /** Where its KV cache goes, when it is leaving; undefined while it stays. */
+  /** Receiver of the engine's KV cache if the engine is leaving; otherwise undefined. */
   readonly kvReceiverId?: UpstreamId | undefined;
 }
 
 /**
- * The orders that bring an engine from what it reports to what it is to hold.
+ * Returns the orders that bring an engine from its reported state to its desired state.
  *
- * An engine that is leaving is asked for its KV cache only, and once, where it offers to hand it over.
+ * An engine that is leaving gets no order but one to transfer its KV cache, if it supports that and
+ * has not done so yet.
  *
- * @param target - what it is to hold and do
- * @param state - what it reports
- * @returns nothing when the two agree
+ * @param target - the desired state
+ * @param state - the reported state
+ * @returns the orders; empty if the two states agree
  *
  * @example
  * planOrders({ models: [], adapters: [], role: 'decode' }, state);
--- a/packages/upstreams/src/types.ts
+++ b/packages/upstreams/src/types.ts
@@ -1,5 +1,5 @@
 /**
- * What is said between the system and its upstreams.
+ * Messages exchanged with upstreams.
  */
 import type { RequestId, UpstreamId } from '@acaciacrank/base';
 
@@ -9,12 +9,12 @@
   readonly content: string;
 }
 
-/** One generation that an engine is asked for. */
+/** A request to an engine to generate an answer. */
 export interface GenerateRequest {
   readonly requestId: RequestId;
   readonly model: string;
   readonly messages: readonly ChatMessage[];
-  /** The most tokens to generate. */
+  /** Maximum number of tokens to generate. */
   readonly maxTokens: number;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -24,7 +24,7 @@
 export interface TokenFrame {
   readonly kind: 'token';
   readonly requestId: RequestId;
-  /** 0 for the first token of the answer, one more with each. */
+  /** Position of the token in the answer, starting at 0. */
   readonly sequence: number;
   readonly text: string;
 }
@@ -33,14 +33,14 @@
 export interface EndFrame {
   readonly kind: 'end';
   readonly requestId: RequestId;
-  /** How many tokens the whole answer has. */
+  /** Number of tokens in the whole answer. */
   readonly sequence: number;
   readonly finishReason: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** What an engine did for one request. */
+/** The tokens that an engine processed for one request. */
 export interface EngineUsage {
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -49,29 +49,34 @@
 /** One frame of an engine's stream. */
 export type EngineFrame = TokenFrame | EndFrame;
 
-/** What an upstream says of its load; it is late by the time it is read. */
+/** Load as reported by an upstream; already out of date when it is read. */
 export interface LoadReport {
   readonly upstreamId: UpstreamId;
   readonly state: 'live' | 'leaving';
   /** Requests in the running batch. */
   readonly runningRequests: number;
-  /** Requests that wait for a place in the batch. */
+  /** Requests waiting for a slot in the batch. */
   readonly waitingRequests: number;
-  /** Places in the batch. */
+  /** Number of slots in the batch. */
   readonly maxRunningRequests: number;
-  /** When it was measured, by the upstream's wall clock, in milliseconds since 1970. */
+  /** Time of measurement, by the upstream's wall clock, in milliseconds since 1970. */
   readonly measuredAtMs: number;
-  /** When the upstream started, by its wall clock; a change under the same id tells of a restart. */
+  /**
+   * Time the upstream started, by its wall clock; if it changes for the same id, the upstream
+   * restarted.
+   */
   readonly startedAtMs?: number | undefined;
 }
 
-/** One change of an engine's prefix cache: a hint, late and with gaps. */
+/**
+ * One change of an engine's prefix cache: only a hint, since events are delayed and may be lost.
+ */
 export interface CacheEvent {
   readonly kind: 'stored' | 'evicted';
   readonly prefixHash: number;
-  /** Rises by one with each event; a gap means that an event was lost. */
+  /** Increases by one with each event; a gap means that an event was lost. */
   readonly sequence: number;
-  /** When it happened, by the engine's wall clock, in milliseconds since 1970. */
+  /** Time of the change, by the engine's wall clock, in milliseconds since 1970. */
   readonly atMs: number;
 }
 
@@ -79,62 +84,62 @@
 export interface ServiceRequest {
   readonly requestId: RequestId;
   readonly method: string;
-  /** Path and query, beginning with `/`. */
+  /** Path and query, starting with `/`. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** A plain service's whole answer. */
+/** The complete response of a plain service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
 }
 
-/** What an engine does in its group: read prompts, generate tokens, or both. */
+/** The role of an engine in its group: process prompts, generate tokens, or both. */
 export type EngineRole = 'prefill' | 'decode' | 'both';
 
-/** A model, as an engine holds it or is to hold it. */
+/** A version of a model that an engine has loaded or should load. */
 export interface ModelVersion {
   readonly model: string;
   readonly version: string;
 }
 
-/** An adapter of a model. */
+/** A version of an adapter of a model. */
 export interface AdapterVersion extends ModelVersion {
   readonly adapter: string;
 }
 
-/** One order to an engine. Each names a state to reach, so that a second one changes nothing. */
+/** An order to an engine. Orders are idempotent: each names a desired state. */
 export type EngineOrder =
   | ({ readonly kind: 'loadModel' } & ModelVersion)
   | ({ readonly kind: 'loadAdapter' } & AdapterVersion)
   | { readonly kind: 'changeRole'; readonly role: EngineRole }
-  /** Hands the KV cache to another engine before leaving. */
+  /** Transfers the KV cache to another engine before leaving. */
   | { readonly kind: 'exportKv'; readonly receiverId: UpstreamId };
 
-/** An order with the number by which engines that check it know a stale giver. */
+/** An order with its fencing token, by which engines that check it reject a stale lease holder. */
 export interface OrderRequest {
   readonly fencingNumber: number;
   readonly order: EngineOrder;
 }
 
-/** How an engine took an order. */
+/** How an engine responded to an order. */
 export type OrderOutcome =
   | { readonly kind: 'taken' }
-  /** It has seen a higher fencing number. */
+  /** The engine has seen a higher fencing token. */
   | { readonly kind: 'stale' }
-  /** The weight store had no room for it. */
+  /** The weight store has reached its rate limit. */
   | { readonly kind: 'rateLimited'; readonly retryAfterMs: number };
 
-/** What an engine reports of what it holds; what it is loading counts as held. */
+/** The state that an engine reports; models and adapters that are still loading count as loaded. */
 export interface EngineState {
   readonly models: readonly ModelVersion[];
   readonly adapters: readonly AdapterVersion[];
   readonly role: EngineRole;
-  /** Whether it can hand over its KV cache. */
+  /** Whether the engine can transfer its KV cache. */
   readonly offersKvExport: boolean;
-  /** Where it handed its KV cache. */
+  /** The engine to which it has transferred its KV cache. */
   readonly kvExportedTo?: UpstreamId | undefined;
 }
--- a/packages/upstreams/src/watchProgress/index.ts
+++ b/packages/upstreams/src/watchProgress/index.ts
@@ -3,23 +3,24 @@
 /** Options of {@link watchProgress}. */
 export interface WatchProgressOptions {
   clock: Clock;
-  /** The longest silence allowed now, in milliseconds; asked again after each item. */
+  /** Returns the current stall timeout, in milliseconds; called again for each item. */
   limitMs: () => number;
-  /** Ends the stream from outside; a RouterError as its reason is what readers see. */
+  /** Aborts the stream; if its reason is a RouterError, readers get that error. */
   signal: AbortSignal;
 }
 
 /**
- * Passes items on while they come, and gives the connection up when none came for too long.
+ * Forwards items as they arrive, and aborts the connection if none arrives within the stall
+ * timeout.
  *
- * Guards against a connection that something between the two ends has lost track of: it stays open
- * and says nothing for good, while a new connection would work. It shows as silence beyond the
- * limit. The connection is aborted without waiting for its reader, which may never return.
+ * Guards against a connection whose state was lost by a device between the two ends: it stays open
+ * but never delivers anything again, while a new connection would work. The connection is aborted
+ * without waiting for its reader, which may never return.
  *
- * @param open - opens the connection; its signal is aborted when the connection is given up
- * @param options - the limit and what ends the stream
+ * @param open - opens the connection; its signal is aborted when the connection is abandoned
+ * @param options - the timeout and the signal that ends the stream
  * @returns the items
- * @throws RouterError `upstreamFailed` on silence, or the signal's reason
+ * @throws RouterError `upstreamFailed` on a stall, or the signal's reason
  *
  * @example
  * const frames = watchProgress((signal) => engine.generate(request, signal), options);
@@ -30,10 +31,10 @@
 ): AsyncIterable<Item> {
   const connection = new AbortController();
   const iterator = open(connection.signal)[Symbol.asyncIterator]();
-  using watch = new SilenceWatch(options);
+  using stallTimer = new StallTimer(options);
   try {
     for (;;) {
-      const item = await watch.wait(() => iterator.next());
+      const item = await stallTimer.wait(() => iterator.next());
       if (item.done === true) return;
       yield item.value;
     }
@@ -43,8 +44,11 @@
   }
 }
 
-/** Bounds each wait by the limit; one timer serves many waits, since tokens come by the thousand. */
-class SilenceWatch implements Disposable {
+/**
+ * Bounds each wait by the stall timeout. One timer serves many waits, as there are thousands of
+ * tokens.
+ */
+class StallTimer implements Disposable {
   readonly #options: WatchProgressOptions;
   readonly #onAbort = () => {
     this.#reject?.(reasonOf(this.#options.signal));
@@ -85,11 +89,11 @@
     this.#timerDueMs = this.#dueMs;
     const delayMs = this.#dueMs - this.#options.clock.monotonicMs();
     this.#timer = this.#options.clock.schedule(delayMs, () => {
-      this.#onTimer();
+      this.#handleTimer();
     });
   }
 
-  #onTimer(): void {
+  #handleTimer(): void {
     this.#timerDueMs = Infinity;
     if (this.#dueMs === Infinity) return;
     if (this.#dueMs > this.#options.clock.monotonicMs()) this.#arm();
@@ -99,5 +103,5 @@
 
 function reasonOf(signal: AbortSignal): RouterError {
   if (signal.reason instanceof RouterError) return signal.reason;
-  return new RouterError('cancelled', 'the work was cancelled');
+  return new RouterError('cancelled', 'the operation was cancelled');
 }
--- a/packages/upstreams/src/watchProgress/test.ts
+++ b/packages/upstreams/src/watchProgress/test.ts
@@ -14,7 +14,7 @@
   return new Promise(() => undefined);
 }
 
-test('a slow stream passes whole as long as each gap is within the limit', async (t) => {
+test('a slow stream is forwarded completely if each gap is within the timeout', async (t) => {
   const clock = new ManualClock();
   const { signal } = new AbortController();
   async function* slow() {
@@ -28,9 +28,9 @@
   t.is(clock.pendingTimers, 0);
 });
 
-// A caller would wait for ever: a device on the way forgets the connection after the second token,
-// no end is signalled to either side, and the reader of the connection never returns.
-test('a connection that falls silent is given up and aborted', async (t) => {
+// Guards against a caller waiting forever: a device on the path drops its state of the connection
+// after the second token, neither side is notified, and the reader of the connection never returns.
+test('a stalled connection is aborted', async (t) => {
   const clock = new ManualClock();
   const { signal } = new AbortController();
   let isAborted = false;
@@ -48,8 +48,8 @@
   t.is(clock.monotonicMs(), 1_000);
 });
 
-// A deadline would pass without effect: the stream hangs in a read that ignores its signal.
-test('the reason of an abort ends even a read that never returns', async (t) => {
+// Guards against a deadline without effect: the stream hangs in a read that ignores its signal.
+test('an abort ends even a read that never returns', async (t) => {
   const clock = new ManualClock();
   const abort = new AbortController();
   async function* silent() {
