--- a/packages/router/src/AccountDemand/index.ts
+++ b/packages/router/src/AccountDemand/index.ts
@@ -3,50 +3,52 @@
 /** Options of {@link AccountDemand}. */
 export interface AccountDemandOptions {
   clock: Clock;
-  /** How fast the average follows, as its time constant in milliseconds. */
-  averageOverMs?: number;
+  /** Time constant of the exponential average, in milliseconds. */
+  timeConstantMs?: number;
 }
 
 interface Demand {
-  open: number;
+  /** Number of requests open now. */
+  openRequests: number;
   average: number;
+  /** When `average` was last updated. */
   atMs: number;
 }
 
-/** Below this average an account without open requests is forgotten. */
-const negligible = 0.05;
+/** An account without open requests is removed when its average falls below this value. */
+const idleAverage = 0.05;
 
 /**
- * How many requests each client account has open at this instance, averaged, so that the directory
- * does not change its answers with each request. Only accounts that are in use take memory.
+ * Tracks the average number of open requests per client account at this instance. The average keeps
+ * the directory from changing its answers with each request. Idle accounts use no memory.
  */
 export class AccountDemand {
   readonly #clock: Clock;
-  readonly #averageOverMs: number;
+  readonly #timeConstantMs: number;
   readonly #demands = new Map<AccountId, Demand>();
 
   constructor(options: AccountDemandOptions) {
     this.#clock = options.clock;
-    this.#averageOverMs = options.averageOverMs ?? 30 * millisecondsInSecond;
+    this.#timeConstantMs = options.timeConstantMs ?? 30 * millisecondsInSecond;
   }
 
-  /** How many accounts are in use. */
+  /** Number of accounts in use. */
   get size(): number {
     return this.#demands.size;
   }
 
-  /** Counts a request as open; dispose of the result when it has ended. */
-  begin(accountId: AccountId): Disposable {
-    this.#at(accountId).open += 1;
+  /** Counts a request as open until the result is disposed of. */
+  beginRequest(accountId: AccountId): Disposable {
+    this.#updateDemand(accountId).openRequests += 1;
     return {
       [Symbol.dispose]: () => {
-        this.#at(accountId).open -= 1;
+        this.#updateDemand(accountId).openRequests -= 1;
       },
     };
   }
 
   /**
-   * An account's open requests, averaged over the last while.
+   * Returns the exponentially averaged number of open requests of an account.
    *
    * @example
    * demand.average(accountId);
@@ -54,21 +56,25 @@
    */
   average(accountId: AccountId): number {
     if (!this.#demands.has(accountId)) return 0;
-    const demand = this.#at(accountId);
-    if (demand.open === 0 && demand.average < negligible) this.#demands.delete(accountId);
+    const demand = this.#updateDemand(accountId);
+    if (demand.openRequests === 0 && demand.average < idleAverage) this.#demands.delete(accountId);
     return demand.average;
   }
 
-  /** Forgets accounts that are no longer in use. */
+  /** Removes idle accounts. */
   forgetIdle(): void {
     for (const accountId of [...this.#demands.keys()]) this.average(accountId);
   }
 
-  #at(accountId: AccountId): Demand {
+  #updateDemand(accountId: AccountId): Demand {
     const nowMs = this.#clock.monotonicMs();
-    const demand = this.#demands.get(accountId) ?? { open: 0, average: 0, atMs: nowMs };
-    const weight = Math.exp(-(nowMs - demand.atMs) / this.#averageOverMs);
-    demand.average = demand.average * weight + demand.open * (1 - weight);
+    const demand = this.#demands.get(accountId) ?? {
+      openRequests: 0,
+      average: 0,
+      atMs: nowMs,
+    };
+    const weight = Math.exp(-(nowMs - demand.atMs) / this.#timeConstantMs);
+    demand.average = demand.average * weight + demand.openRequests * (1 - weight);
     demand.atMs = nowMs;
     this.#demands.set(accountId, demand);
     return demand;
--- a/packages/router/src/AccountDemand/test.ts
+++ b/packages/router/src/AccountDemand/test.ts
@@ -4,14 +4,14 @@
 
 const account = 'one' as AccountId;
 
-test('the average follows open requests, and idle accounts are forgotten', async (t) => {
+test('the average follows the open requests, and idle accounts are removed', async (t) => {
   const clock = new ManualClock();
-  const demand = new AccountDemand({ clock, averageOverMs: 1_000 });
-  const open = Array.from({ length: 10 }, () => demand.begin(account));
+  const demand = new AccountDemand({ clock, timeConstantMs: 1_000 });
+  const openRequests = Array.from({ length: 10 }, () => demand.beginRequest(account));
   t.is(demand.average(account), 0);
   await clock.advance(10_000);
   t.is(Math.round(demand.average(account)), 10);
-  for (const request of open) request[Symbol.dispose]();
+  for (const request of openRequests) request[Symbol.dispose]();
   await clock.advance(10_000);
   demand.forgetIdle();
   t.is(demand.size, 0);
--- a/packages/router/src/Directory/index.ts
+++ b/packages/router/src/Directory/index.ts
@@ -16,77 +16,81 @@
   membership: Membership;
 }
 
-/** How long callers keep the directory's answer, in milliseconds. */
+/** How long callers may cache the directory's answer, in milliseconds. */
 export const directoryKeepMs = 5 * millisecondsInSecond;
-/** How many instances an account uses at least: one more than it can lose. */
-const leastInstances = 2;
-/** Open requests of one account that one instance is meant to have, on average. */
-const openPerInstance = 16;
+/** Minimum number of instances of an account, so that it can lose one. */
+const minInstancesPerAccount = 2;
+/** Target for the average number of open requests of one account at one instance. */
+const targetOpenRequestsPerInstance = 16;
 
 /**
- * How long a number of instances stands before it is looked at again, in milliseconds. Callers come
- * to new instances only as their answers run out, and the average follows later still; looking at it
- * sooner would count the same load again and again and name ever more instances.
+ * Minimum time between two changes to an account's number of instances, in milliseconds. Callers move
+ * to new instances only when their cached answers expire, and the average of open requests follows
+ * even later. A shorter interval would count the same load repeatedly and add ever more instances.
  */
-const countStandsMs = 60 * millisecondsInSecond;
+const countReviewIntervalMs = 60 * millisecondsInSecond;
 
 interface InstanceCount {
   readonly count: number;
   readonly sinceMs: number;
 }
 
-/** Tells callers which instances to use. */
+/** Selects the instances that callers of an account should use. */
 export class Directory {
   readonly #options: DirectoryOptions;
   readonly #demand: AccountDemand;
-  /** How many instances busy accounts were told to use; the others use the fewest. */
-  readonly #counts = new Map<AccountId, InstanceCount>();
-  #answers = 0;
+  /** Number of instances of each busy account; all other accounts use the minimum. */
+  readonly #instanceCounts = new Map<AccountId, InstanceCount>();
+  #answerCount = 0;
 
   constructor(options: DirectoryOptions) {
     this.#options = options;
     this.#demand = new AccountDemand({ clock: options.clock });
   }
 
-  /** How many instances take new callers, this one included. */
+  /** Number of instances that accept new requests, including this one. */
   get usableInstances(): number {
     return this.#candidates().length;
   }
 
-  /** The instances that take new work, this one included. */
+  /** The instances that accept new requests, including this one. */
   get usable(): readonly ListedInstance[] {
     return this.#candidates();
   }
 
-  /** Counts a request of an account as open here; dispose of the result when it has ended. */
-  begin(accountId: AccountId): Disposable {
-    return this.#demand.begin(accountId);
+  /** Counts a request of an account as open at this instance until the result is disposed of. */
+  beginRequest(accountId: AccountId): Disposable {
+    return this.#demand.beginRequest(accountId);
   }
 
-  /** Forgets accounts that are no longer in use. */
+  /** Removes the state of idle accounts. */
   forgetIdle(): void {
     this.#demand.forgetIdle();
-    for (const accountId of [...this.#counts.keys()]) this.#countFor(accountId);
+    for (const accountId of [...this.#instanceCounts.keys()]) this.#instanceCountFor(accountId);
   }
 
   /**
-   * The answer for an account's caller.
+   * Returns the instances for a caller of an account, in order of preference.
    *
-   * Membership corrects the platform's lagging list: who was given up or is leaving is not named,
-   * though listed, and who speaks for itself is, though not listed. A suspect is named last: most
-   * suspects live, and moving an account costs its grants and cached prefixes.
+   * The platform's list lags, so membership takes precedence: a listed instance that is dead or
+   * leaving is omitted, and an unlisted one from which messages arrive is included. A suspected
+   * instance comes last: most suspected instances are alive, and moving an account to another
+   * instance costs its grants and cached prefixes.
    *
-   * @param accountId - whose caller asks
-   * @param near - the caller's failure domain, when it says so
+   * @param accountId - client account of the caller
+   * @param nearFailureDomain - failure domain of the caller, if it states one
    */
-  answer(accountId: AccountId, near: string | undefined): DirectoryAnswer {
-    const count = this.#countFor(accountId);
+  answer(accountId: AccountId, nearFailureDomain: string | undefined): DirectoryAnswer {
+    const count = this.#instanceCountFor(accountId);
     const chosen = chooseInstances(accountId, this.#candidates(), {
       count,
-      ...(near === undefined ? {} : { nearFailureDomain: near as FailureDomainId }),
+      ...(nearFailureDomain === undefined
+        ? {}
+        : { nearFailureDomain: nearFailureDomain as FailureDomainId }),
     });
-    const ordered = count > leastInstances ? this.#rotate(chosen, near) : chosen;
-    const suspects = new Set(this.#members((member) => member.state === 'suspect'));
+    const ordered =
+      count > minInstancesPerAccount ? this.#rotate(chosen, nearFailureDomain) : chosen;
+    const suspects = new Set(this.#memberIds((member) => member.state === 'suspect'));
     const instances = [
       ...ordered.filter(({ id }) => !suspects.has(id)),
       ...ordered.filter(({ id }) => suspects.has(id)),
@@ -98,30 +102,41 @@
   }
 
   /**
-   * More instances for an account that has more open than one should carry. The estimate is of all
-   * its instances together, so that spreading it does not make it look idle again.
+   * Returns the number of instances for an account, which grows with its open requests. The estimate
+   * covers all instances of the account, so that distributing the load does not make the account look
+   * idle.
    */
-  #countFor(accountId: AccountId): number {
+  #instanceCountFor(accountId: AccountId): number {
     const nowMs = this.#options.clock.monotonicMs();
-    const most = Math.max(leastInstances, this.usableInstances);
-    const told = this.#counts.get(accountId);
-    if (told !== undefined && nowMs - told.sinceMs < countStandsMs) {
-      return Math.min(told.count, most);
+    const maxCount = Math.max(minInstancesPerAccount, this.usableInstances);
+    const previous = this.#instanceCounts.get(accountId);
+    if (previous !== undefined && nowMs - previous.sinceMs < countReviewIntervalMs) {
+      return Math.min(previous.count, maxCount);
     }
-    const open = this.#demand.average(accountId) * (told?.count ?? leastInstances);
-    const wanted = Math.max(leastInstances, Math.ceil(open / openPerInstance));
-    const count = Math.min(wanted, most);
-    if (count === leastInstances) this.#counts.delete(accountId);
-    else this.#counts.set(accountId, { count, sinceMs: nowMs });
+    const openRequests =
+      this.#demand.average(accountId) * (previous?.count ?? minInstancesPerAccount);
+    const requiredCount = Math.max(
+      minInstancesPerAccount,
+      Math.ceil(openRequests / targetOpenRequestsPerInstance),
+    );
+    const count = Math.min(requiredCount, maxCount);
+    if (count === minInstancesPerAccount) this.#instanceCounts.delete(accountId);
+    else this.#instanceCounts.set(accountId, { count, sinceMs: nowMs });
     return count;
   }
 
-  /** Callers use the first; a busy account's are sent to one after the other, near ones first. */
-  #rotate(chosen: readonly ListedInstance[], near: string | undefined): ListedInstance[] {
-    this.#answers += 1;
-    const at = this.#answers % chosen.length;
-    const rotated = [...chosen.slice(at), ...chosen.slice(0, at)];
-    const isNear = ({ failureDomain }: ListedInstance) => failureDomain === near;
+  /**
+   * Callers use the first instance. For a busy account the first one rotates, with instances in the
+   * caller's failure domain ahead of the others.
+   */
+  #rotate(
+    chosen: readonly ListedInstance[],
+    nearFailureDomain: string | undefined,
+  ): ListedInstance[] {
+    this.#answerCount += 1;
+    const offset = this.#answerCount % chosen.length;
+    const rotated = [...chosen.slice(offset), ...chosen.slice(0, offset)];
+    const isNear = ({ failureDomain }: ListedInstance) => failureDomain === nearFailureDomain;
     return [...rotated.filter(isNear), ...rotated.filter((instance) => !isNear(instance))];
   }
 
@@ -130,16 +145,18 @@
     const others = members.value.filter(({ state }) => {
       return state === 'live' || state === 'suspect' || state === 'listed';
     });
-    const own = self.state === 'live' && self.url !== '' ? [entryOf(self)] : [];
-    return [...own, ...others.map(entryOf)];
+    const own = self.state === 'live' && self.url !== '' ? [toListedInstance(self)] : [];
+    return [...own, ...others.map(toListedInstance)];
   }
 
-  #members(isWanted: (member: Member) => boolean) {
-    return this.#options.membership.members.value.filter(isWanted).map(({ id }) => id);
+  #memberIds(predicate: (member: Member) => boolean) {
+    return this.#options.membership.members.value.filter(predicate).map(({ id }) => id);
   }
 }
 
-function entryOf(member: Pick<Member, 'id' | 'url'> & { failureDomain: string }): ListedInstance {
+function toListedInstance(
+  member: Pick<Member, 'id' | 'url'> & { failureDomain: string },
+): ListedInstance {
   const { id, url } = member;
   const failureDomain = member.failureDomain as FailureDomainId;
   return { id, url, failureDomain, role: 'entry', state: 'live' };
--- a/packages/router/src/Directory/test.ts
+++ b/packages/router/src/Directory/test.ts
@@ -13,9 +13,9 @@
 
 const account = 'one' as AccountId;
 
-/** Links over which a test says what peers would. */
-class SpokenLinks extends NoFleetLinks {
-  hear(record: MemberRecord): void {
+/** Links that deliver the messages that a test specifies. */
+class SimulatedLinks extends NoFleetLinks {
+  deliverRecord(record: MemberRecord): void {
     const fields = { sequence: 0, configurationVersion: 1, viewHash: 0, records: [record] };
     this.deliver({ kind: 'news', ...fields }, record.id);
   }
@@ -33,13 +33,13 @@
 
 function recordOf(index: number, change: Partial<MemberRecord>): MemberRecord {
   const { id, url, failureDomain } = entry(index);
-  const said = { life: 'a', incarnation: 1, state: 'live' as const, isSuspect: false };
-  return { id, url, failureDomain, fleetUrl: '', ...said, ...change };
+  const defaults = { life: 'a', incarnation: 1, state: 'live' as const, isSuspect: false };
+  return { id, url, failureDomain, fleetUrl: '', ...defaults, ...change };
 }
 
-function open() {
+function createDirectory() {
   const clock = new ManualClock();
-  const links = new SpokenLinks();
+  const links = new SimulatedLinks();
   const membership = new Membership({
     clock,
     links,
@@ -54,50 +54,53 @@
   membership.serve();
   membership.list([1, 2, 3, 4].map(entry));
   const directory = new Directory({ clock, membership });
-  const named = (near?: string) => directory.answer(account, near).instances.map(({ id }) => id);
+  const named = (nearFailureDomain?: string) =>
+    directory.answer(account, nearFailureDomain).instances.map(({ id }) => id);
   return { clock, links, membership, directory, named };
 }
 
-test('names two instances, this one among those that may be named', (t) => {
-  const { directory, named } = open();
+test('names two instances and counts this one among the usable ones', (t) => {
+  const { directory, named } = createDirectory();
   t.is(directory.usableInstances, 5);
   t.is(named().length, 2);
   t.is(directory.answer(account, undefined).keepMs, 5_000);
 });
 
-// The platform's list lags: it still calls an instance live that has said that it is leaving.
-test('what a member says of itself goes before the list', (t) => {
-  const { links, membership, named } = open();
+// Guards against sending callers to an instance that is leaving while the platform's list, which lags,
+// still shows it as live.
+test('the state that a member reports takes precedence over the list', (t) => {
+  const { links, membership, named } = createDirectory();
   const [first] = named();
   const index = Number(first?.slice(1));
   if (index === 0) membership.leave();
-  else links.hear(recordOf(index, { state: 'leaving' }));
+  else links.deliverRecord(recordOf(index, { state: 'leaving' }));
   t.false(named().includes(first as InstanceId));
 });
 
-// A doubt is mostly false. The account stays with its instances, but callers try the other first.
-test('a suspect is named last, not left out', (t) => {
-  const { links, named } = open();
+// Guards against moving an account away from a suspected instance, since most suspicions are wrong.
+// The account keeps its instances, but callers try the other one first.
+test('a suspected instance is named last instead of being omitted', (t) => {
+  const { links, named } = createDirectory();
   const suspects = [1, 2, 3, 4].map((index) => recordOf(index, { isSuspect: true }));
   const before = named('fd1');
-  for (const suspect of suspects) if (suspect.id === before[0]) links.hear(suspect);
+  for (const suspect of suspects) if (suspect.id === before[0]) links.deliverRecord(suspect);
   const after = named('fd1');
   t.deepEqual([...after].sort(), [...before].sort());
   t.is(after[1], before[0]);
 });
 
-// Franchise week: one account fills its two instances while the other three idle. The number must
-// not grow with each answer while the load is still where it was.
-test('a busy account is given more instances, one after the other first', async (t) => {
-  const { clock, directory, named } = open();
+// Guards against one account overloading its two instances while the other three are idle, and against
+// adding more instances with each answer before the load has moved.
+test('a busy account gets more instances, which take turns in first place', async (t) => {
+  const { clock, directory, named } = createDirectory();
   const before = named();
-  const open32 = Array.from({ length: 32 }, () => directory.begin(account));
+  const openRequests = Array.from({ length: 32 }, () => directory.beginRequest(account));
   await clock.advance(300_000);
   const answers = Array.from({ length: 8 }, () => named());
   t.true(answers.every((ids) => ids.length === 4));
   t.true(answers.every((ids) => before.every((id) => ids.includes(id))));
   t.is(new Set(answers.map(([first]) => first)).size, 4);
-  for (const request of open32) request[Symbol.dispose]();
+  for (const request of openRequests) request[Symbol.dispose]();
   await clock.advance(300_000);
   named();
   t.deepEqual(named(), before);
--- a/packages/router/src/EngineOrders/index.ts
+++ b/packages/router/src/EngineOrders/index.ts
@@ -26,69 +26,74 @@
   store: ObjectStore;
   registry: UpstreamRegistry;
   environment: string;
-  /** The services of the document in force; none while there is no document. */
+  /** Services of the configuration in force; empty while there is none. */
   services: () => readonly ServiceDocument[];
-  /** The entry instances, as listed. */
-  entries: () => readonly ListedInstance[];
+  /** The instances that accept requests of callers. */
+  entryInstances: () => readonly ListedInstance[];
 }
 
-/** How many instances stand by to order one service's engines: more would read the lease for nothing. */
+/**
+ * Number of instances that compete for the lease on the engine orders of one service. More instances
+ * would only add reads of the lease.
+ */
 const contendersPerService = 3;
-/** How often the document and the contenders are looked at, in milliseconds. */
-const lookIntervalMs = 5 * millisecondsInSecond;
+/** Interval between checks of the configuration and the set of contenders, in milliseconds. */
+const reconcileIntervalMs = 5 * millisecondsInSecond;
 
 type Holds = NonNullable<EngineServiceDocument['holds']>;
 
 interface RunningKeeper extends AsyncDisposable {
-  /** What it was made from; another one needs another keeper. */
-  readonly madeFrom: string;
+  /** The settings of the keeper; if they change, the keeper is replaced. */
+  readonly settingsKey: string;
 }
 
-/** Runs an order keeper for each service that this instance stands by for. */
+/** Runs an order keeper for each service for whose lease this instance competes. */
 export class EngineOrders implements AsyncDisposable {
   readonly #options: EngineOrdersOptions;
   readonly #keepers = new Map<string, RunningKeeper>();
   readonly #stop = new AbortController();
-  #following: Promise<void> | undefined;
+  #reconcileLoop: Promise<void> | undefined;
 
   constructor(options: EngineOrdersOptions) {
     this.#options = options;
   }
 
-  /** Follows the document until disposed of. */
+  /** Starts and stops order keepers as the configuration changes, until disposed of. */
   start(): void {
-    this.#following ??= this.#follow();
+    this.#reconcileLoop ??= this.#runReconcileLoop();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
-    await this.#following;
+    await this.#reconcileLoop;
     await Promise.all([...this.#keepers.values()].map((keeper) => keeper[Symbol.asyncDispose]()));
   }
 
-  async #follow(): Promise<void> {
+  async #runReconcileLoop(): Promise<void> {
     const { clock } = this.#options;
     while (!this.#stop.signal.aborted) {
-      await this.#look();
-      await clock.sleep(lookIntervalMs, this.#stop.signal);
+      await this.#reconcileKeepers();
+      await clock.sleep(reconcileIntervalMs, this.#stop.signal);
     }
   }
 
-  /** Starts the keepers that are due and stops those that are not. */
-  async #look(): Promise<void> {
-    const due = new Map(this.#dueServices().map((service) => [service.name, service]));
+  /** Starts the keepers that are needed and stops those that are not or whose settings changed. */
+  async #reconcileKeepers(): Promise<void> {
+    const servicesByName = new Map(
+      this.#contendedServices().map((service) => [service.name, service]),
+    );
     for (const [name, keeper] of this.#keepers) {
-      const service = due.get(name);
-      if (service !== undefined && madeFrom(service) === keeper.madeFrom) continue;
+      const service = servicesByName.get(name);
+      if (service !== undefined && keeperSettingsKey(service) === keeper.settingsKey) continue;
       this.#keepers.delete(name);
       await keeper[Symbol.asyncDispose]();
     }
-    for (const [name, service] of due) {
+    for (const [name, service] of servicesByName) {
       if (!this.#keepers.has(name)) this.#keepers.set(name, this.#startKeeper(service));
     }
   }
 
-  #dueServices(): EngineServiceDocument[] {
+  #contendedServices(): EngineServiceDocument[] {
     return this.#options
       .services()
       .filter((service) => service.kind === 'engines')
@@ -96,10 +101,11 @@
   }
 
   #isContender(service: string): boolean {
-    const { entries, instanceId } = this.#options;
-    // The same rendezvous as for accounts: another set of instances for each service.
+    const { entryInstances, instanceId } = this.#options;
+    // Uses the rendezvous hash for client accounts with a key per service, so that the services are
+    // distributed over different sets of instances.
     const key = `service ${service}` as AccountId;
-    const contenders = chooseInstances(key, entries(), { count: contendersPerService });
+    const contenders = chooseInstances(key, entryInstances(), { count: contendersPerService });
     return contenders.some(({ id }) => id === instanceId);
   }
 
@@ -116,44 +122,44 @@
         incarnation,
       }),
       rate: new OrderRate({ clock, loadsPerMinute: service.holds?.loadsPerMinute ?? 1 }),
-      engines: () => this.#keptEngines(service.name),
+      engines: () => this.#enginesWithTargets(service.name),
     });
     keeper.start();
     return {
-      madeFrom: madeFrom(service),
+      settingsKey: keeperSettingsKey(service),
       [Symbol.asyncDispose]: () => keeper[Symbol.asyncDispose](),
     };
   }
 
-  /** The service's engines with their targets, by the document as it is in force now. */
-  #keptEngines(name: string): KeptEngine[] {
-    const service = this.#dueServices().find((due) => due.name === name);
+  /** The engines of a service with their targets from the configuration currently in force. */
+  #enginesWithTargets(name: string): KeptEngine[] {
+    const service = this.#contendedServices().find((candidate) => candidate.name === name);
     const { holds } = service ?? {};
     if (holds === undefined) return [];
     const upstreams = this.#options.registry
       .all()
       .filter((upstream) => upstream.service === (name as ServiceName));
-    return upstreams.flatMap((upstream) => keptEngine(upstream, holds, upstreams));
+    return upstreams.flatMap((upstream) => withTarget(upstream, holds, upstreams));
   }
 }
 
-function keptEngine(upstream: Upstream, holds: Holds, all: readonly Upstream[]): KeptEngine[] {
+function withTarget(upstream: Upstream, holds: Holds, all: readonly Upstream[]): KeptEngine[] {
   const { id, engine, state } = upstream;
   if (engine === undefined) return [];
   const { models, adapters, role } = holds;
   if (state === 'live') return [{ id, engine, target: { models, adapters, role } }];
-  const kvReceiverId = leastLoaded(all);
+  const kvReceiverId = leastLoadedUpstreamId(all);
   if (kvReceiverId === undefined) return [];
   return [{ id, engine, target: { models, adapters, role, kvReceiverId } }];
 }
 
-function leastLoaded(upstreams: readonly Upstream[]): UpstreamId | undefined {
+function leastLoadedUpstreamId(upstreams: readonly Upstream[]): UpstreamId | undefined {
   const [first] = upstreams
     .filter(({ state }) => state === 'live')
     .sort((a, b) => estimatedLoad(a) - estimatedLoad(b));
   return first?.id;
 }
 
-function madeFrom(service: EngineServiceDocument): string {
+function keeperSettingsKey(service: EngineServiceDocument): string {
   return JSON.stringify([service.checksFencing, service.holds?.loadsPerMinute]);
 }
--- a/packages/router/src/FleetGrantPeers/index.ts
+++ b/packages/router/src/FleetGrantPeers/index.ts
@@ -11,16 +11,16 @@
 export interface FleetGrantPeersOptions {
   questions: FleetQuestions;
   instanceId: InstanceId;
-  /** Names this life of the instance: an answer to an earlier life is not taken. */
+  /** Identifies this process run: a response to an earlier run of the instance is ignored. */
   life: string;
-  /** The other instances that can be reached now. */
+  /** The other instances that can currently be reached. */
   live: () => readonly InstanceId[];
 }
 
-/** How long peers have to answer, in milliseconds; a request waits for them. */
-const answerLimitMs = 250;
+/** Timeout for responses of peers, in milliseconds. Short, since a request waits for them. */
+const answerTimeoutMs = 250;
 
-/** The ledger's peers, over the links between instances. */
+/** Exchanges grants with other instances over the links between them. */
 export class FleetGrantPeers extends GrantPeers {
   readonly #options: FleetGrantPeersOptions;
 
@@ -31,19 +31,19 @@
 
   override serve(handler: GrantPeerHandler): Disposable {
     const { questions } = this.#options;
-    const giving = questions.answer('giveBack', async ({ budget }) => {
+    const giveBackHandler = questions.answer('giveBack', async ({ budget }) => {
       await handler.giveBack(budget);
       return { kind: 'giveBack' };
     });
-    const handing = questions.answer('handOver', ({ life, budget, tokens }) => ({
+    const handOverHandler = questions.answer('handOver', ({ life, budget, tokens }) => ({
       kind: 'handOver',
       life,
       transfers: [...handler.handOver(budget, tokens)],
     }));
     return {
       [Symbol.dispose]: () => {
-        giving[Symbol.dispose]();
-        handing[Symbol.dispose]();
+        giveBackHandler[Symbol.dispose]();
+        handOverHandler[Symbol.dispose]();
       },
     };
   }
@@ -54,12 +54,12 @@
 
   override async recall(budget: BudgetRef, holders: readonly InstanceId[]): Promise<void> {
     const live = this.reachable();
-    const asked = holders.filter((holder) => live.has(holder));
+    const reachableHolders = holders.filter((holder) => live.has(holder));
     const ask = (holder: InstanceId) =>
       this.#options.questions
-        .ask(holder, { kind: 'giveBack', budget }, { timeoutMs: answerLimitMs })
+        .ask(holder, { kind: 'giveBack', budget }, { timeoutMs: answerTimeoutMs })
         .catch(() => undefined);
-    await Promise.all(asked.map(ask));
+    await Promise.all(reachableHolders.map(ask));
   }
 
   override async askTokens(
@@ -68,16 +68,16 @@
   ): Promise<readonly TransferredTokens[]> {
     const { live, instanceId } = this.#options;
     const others = live().filter((peer) => peer !== instanceId);
-    const answers = await Promise.all(others.map((peer) => this.#askOne(peer, budget, tokens)));
+    const answers = await Promise.all(others.map((peer) => this.#askPeer(peer, budget, tokens)));
     return answers.flat();
   }
 
   /**
-   * Asks one peer. Guards against an answer to an earlier life of this instance, which would count
-   * the tokens' time from the wrong moment: it shows as another life's name, and the tokens then
-   * stay unused until their grant ends.
+   * Asks one peer for tokens. Ignores a response to an earlier process run of this instance, since the
+   * lifetime of its tokens would be counted from the wrong moment. Such a response carries the `life`
+   * of the earlier run; its tokens remain unused until their grant expires.
    */
-  async #askOne(
+  async #askPeer(
     peer: InstanceId,
     budget: BudgetRef,
     tokens: number,
@@ -85,7 +85,7 @@
     const { questions, life } = this.#options;
     const question = { kind: 'handOver', life, budget, tokens } as const;
     const reply = await questions
-      .ask(peer, question, { timeoutMs: answerLimitMs })
+      .ask(peer, question, { timeoutMs: answerTimeoutMs })
       .catch(() => undefined);
     return reply?.life === life ? reply.transfers : [];
   }
--- a/packages/router/src/HttpUpstreamClients/index.ts
+++ b/packages/router/src/HttpUpstreamClients/index.ts
@@ -3,7 +3,7 @@
 import { UpstreamClients } from '@acaciacrank/routing';
 import { HttpEngineClient, HttpServiceClient } from '@acaciacrank/upstreams';
 
-/** Opens HTTP clients for listed upstreams. */
+/** Creates HTTP clients for listed upstreams. */
 export class HttpUpstreamClients extends UpstreamClients {
   readonly #clock: Clock;
 
--- a/packages/router/src/Instance/index.ts
+++ b/packages/router/src/Instance/index.ts
@@ -49,7 +49,7 @@
 import { PeerConfigurationObjects } from '../PeerConfigurationObjects/index.js';
 import { PlannedStop, type StopResult } from '../PlannedStop/index.js';
 
-/** What an instance is made of; each part has a real and an in-process form. */
+/** Dependencies of an instance; each has a production and an in-process implementation. */
 export interface InstanceOptions {
   instanceId: InstanceId;
   environment: string;
@@ -58,28 +58,31 @@
   store: ObjectStore;
   list: InstanceList;
   clients: UpstreamClients;
-  /** Links to other instances; an instance without them runs alone. */
+  /** Links to other instances; without them the instance runs standalone. */
   links?: FleetLinks;
   log: Log;
   metrics?: Metrics;
   failureDomain?: FailureDomainId;
   grantPolicy?: GrantPolicy;
   choice?: UpstreamChoice;
-  /** How long a begun answer runs on after its caller has gone away, in milliseconds. */
+  /** How long a started answer continues after its caller has disconnected, in milliseconds. */
   lingerMs?: number;
 }
 
-/** How often the platform's list is read, in milliseconds; membership knows sooner. */
-const listEveryMs = 5 * millisecondsInSecond;
+/**
+ * Interval between reads of the platform's instance list, in milliseconds. Membership detects most
+ * changes earlier.
+ */
+const listReadIntervalMs = 5 * millisecondsInSecond;
 
-/** One instance: the decisions wired together, without its ports. */
+/** Connects all components of one instance, without opening any ports. */
 export class Instance implements AsyncDisposable {
   readonly metrics: Metrics;
   readonly configuration: ConfigurationWatcher;
   readonly links: FleetLinks;
   readonly questions: FleetQuestions;
   readonly membership: Membership;
-  readonly spread: ConfigurationSpread;
+  readonly configurationGossip: ConfigurationSpread;
   readonly directory: Directory;
   readonly plannedStop: PlannedStop;
   readonly registry: UpstreamRegistry;
@@ -108,7 +111,7 @@
         random,
         environment,
         instanceId,
-        peers: new PeerConfigurationObjects(() => this.spread),
+        peers: new PeerConfigurationObjects(() => this.configurationGossip),
       }),
     );
     this.registry = this.#owned.add(
@@ -127,7 +130,8 @@
     this.membership = this.#owned.add(
       new Membership({
         clock,
-        // A source of its own: how many heartbeats passed must not change what requests draw.
+        // Has its own random source, so that the number of heartbeats does not affect the values that
+        // requests draw.
         random: createRandom(hashText(`membership\n${instanceId}\n${incarnation}`)),
         links: this.links,
         questions: this.questions,
@@ -141,7 +145,7 @@
         configurationVersion: () => this.configuration.inForce.value?.version ?? 0,
       }),
     );
-    this.spread = this.#owned.add(
+    this.configurationGossip = this.#owned.add(
       new ConfigurationSpread({
         clock,
         links: this.links,
@@ -166,7 +170,7 @@
       openWork: () => this.openWork,
       closeGrants: () => this.ledger.closeAll(),
     });
-    const peers = new FleetGrantPeers({
+    const grantPeers = new FleetGrantPeers({
       questions: this.questions,
       instanceId,
       life: incarnation,
@@ -180,10 +184,10 @@
         instanceId,
         incarnation,
         policy: options.grantPolicy ?? new DemandGrantPolicy(),
-        peers,
+        peers: grantPeers,
       }),
     );
-    const shared = {
+    const sharedOptions = {
       clock,
       random,
       choice,
@@ -201,11 +205,11 @@
         service === undefined ? 0 : this.registry.usualFirstTokenMs(service, priority),
     });
     const retries = new RetryBudget({ clock, instanceCount: () => 1 + this.#peerCount });
-    const engines = new EngineDispatch({ ...shared, retries });
-    const services = new ServiceDispatch({ ...shared, retries });
-    this.chat = new ChatHandler({ ...shared, queue, engines, lingerMs: options.lingerMs });
+    const engines = new EngineDispatch({ ...sharedOptions, retries });
+    const services = new ServiceDispatch({ ...sharedOptions, retries });
+    this.chat = new ChatHandler({ ...sharedOptions, queue, engines, lingerMs: options.lingerMs });
     const records = new RequestRecords({ store, clock, instanceId });
-    this.services = new ServiceHandler({ ...shared, records, services });
+    this.services = new ServiceHandler({ ...sharedOptions, records, services });
     this.orders = this.#owned.add(
       new EngineOrders({
         instanceId,
@@ -216,7 +220,7 @@
         registry: this.registry,
         environment,
         services: () => this.configuration.inForce.value?.index.settings.services ?? [],
-        entries: () => this.directory.usable,
+        entryInstances: () => this.directory.usable,
       }),
     );
   }
@@ -226,77 +230,88 @@
     return this.membership.members.value.filter(({ state }) => state !== 'left').length;
   }
 
-  /** Whether new work is taken. */
+  /** Whether new requests are accepted. */
   get isAccepting(): boolean {
     return this.plannedStop.isAccepting && this.configuration.inForce.value !== undefined;
   }
 
-  /** Requests under way. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.#openRequests;
   }
 
-  /** Requests under way, and answers and bills that go on after their caller has gone. */
+  /**
+   * Number of requests in progress, plus the answers and billing operations that continue after their
+   * caller has disconnected.
+   */
   get openWork(): number {
     return this.#openRequests + this.chat.openAnswers + this.services.openCalls;
   }
 
   /**
-   * Reads the configuration and the lists, then follows them.
+   * Reads the configuration and the instance lists, then follows their changes.
    *
-   * @param addresses - where callers and peers reach this instance
+   * @param addresses - the addresses at which callers and peers reach this instance
    */
   async start(addresses: InstanceAddresses = { url: '', fleetUrl: '' }): Promise<void> {
     const { log, instanceId } = this.#options;
-    const followed = this.configuration.inForce.follow(
+    const subscription = this.configuration.inForce.follow(
       (inForce) => {
         if (inForce === undefined) return;
         log.info({ version: inForce.version }, 'configuration in force');
         this.membership.serve();
-        this.spread.announce(inForce.version);
+        this.configurationGossip.announce(inForce.version);
       },
       (error) => {
         log.error({ err: error }, 'configuration stream failed');
       },
     );
-    this.#owned.add(followed);
+    this.#owned.add(subscription);
     await this.configuration.start();
     await this.registry.start();
     this.membership.start(addresses);
-    // As for the registry: who is listed is read again soon.
+    // A failure is ignored, as it is for the registry: the list is read again at the next interval.
     await this.#readList().catch(() => undefined);
-    const following = this.#followList();
-    this.#owned.add({ [Symbol.asyncDispose]: () => following });
+    const listPolling = this.#pollList();
+    this.#owned.add({ [Symbol.asyncDispose]: () => listPolling });
     this.orders.start();
     log.info({ instanceId }, 'instance ready');
   }
 
   /**
-   * Marks a request as under way; dispose of the result when it has ended.
+   * Counts a request as in progress until the result is disposed of.
    *
-   * @param accountKey - the caller's key, for telling busy accounts from others
+   * @param accountKey - API key of the caller, to count open requests per client account
    */
   beginRequest(accountKey?: string): Disposable {
     this.#openRequests += 1;
-    const ofAccount = this.#beginOfAccount(accountKey);
+    const accountRequest = this.#beginAccountRequest(accountKey);
     return {
       [Symbol.dispose]: () => {
         this.#openRequests -= 1;
-        ofAccount?.[Symbol.dispose]();
+        accountRequest?.[Symbol.dispose]();
       },
     };
   }
 
   /**
-   * The directory's answer for a caller.
+   * Returns the instances that a caller should use.
    *
+   * @param accountKey - API key of the caller
+   * @param nearFailureDomain - failure domain of the caller, if it states one
    * @throws RouterError `unauthenticated`, or `storeUnavailable` before a configuration was read
    */
-  findInstances(accountKey: string | undefined, near: string | undefined): DirectoryAnswer {
-    return this.directory.answer(this.configuration.current().index.accountOfKey(accountKey), near);
+  findInstances(
+    accountKey: string | undefined,
+    nearFailureDomain: string | undefined,
+  ): DirectoryAnswer {
+    return this.directory.answer(
+      this.configuration.current().index.accountOfKey(accountKey),
+      nearFailureDomain,
+    );
   }
 
-  /** Makes a planned stop; see {@link PlannedStop}. */
+  /** Shuts down gracefully; see {@link PlannedStop}. */
   drain(limitMs: number): Promise<StopResult> {
     return this.plannedStop.run(limitMs);
   }
@@ -306,20 +321,22 @@
     await this.#owned.dispose();
   }
 
-  #beginOfAccount(accountKey: string | undefined): Disposable | undefined {
+  #beginAccountRequest(accountKey: string | undefined): Disposable | undefined {
     try {
-      return this.directory.begin(this.configuration.current().index.accountOfKey(accountKey));
+      return this.directory.beginRequest(
+        this.configuration.current().index.accountOfKey(accountKey),
+      );
     } catch {
-      // The request is refused where it is looked at; here it counts for no account.
+      // An invalid key is refused when the request is handled; here the request counts for no account.
       return undefined;
     }
   }
 
-  /** Those who answer; one under suspicion is away for the ledger's purposes. */
+  /** The instances that respond. The ledger treats a suspected instance as unreachable. */
   #reachablePeers(): InstanceId[] {
-    const answering = ['listed', 'live', 'leaving'];
+    const reachableStates = ['listed', 'live', 'leaving'];
     return this.membership.members.value
-      .filter((member) => answering.includes(member.state))
+      .filter((member) => reachableStates.includes(member.state))
       .map((member) => member.id);
   }
 
@@ -333,19 +350,20 @@
     this.membership.list(listed.filter((entry) => entry.role === 'entry'));
   }
 
-  async #followList(): Promise<void> {
+  async #pollList(): Promise<void> {
     const { clock } = this.#options;
-    // Spread by the instance's own name, so that a fleet started at once does not ask at once.
-    const everyMs = listEveryMs * (0.75 + hashText(this.#options.instanceId) / 2 ** 33);
+    // The instance id determines the interval, so that instances started together do not all read at
+    // the same time.
+    const intervalMs = listReadIntervalMs * (0.75 + hashText(this.#options.instanceId) / 2 ** 33);
     while (!this.#stop.signal.aborted) {
-      await clock.sleep(everyMs, this.#stop.signal);
+      await clock.sleep(intervalMs, this.#stop.signal);
       await this.#readList().catch(() => undefined);
       this.directory.forgetIdle();
     }
   }
 }
 
-/** Seeds an instance's random source so that two instances never draw alike. */
+/** Derives the seed of an instance's random source, so that no two instances draw the same values. */
 export function instanceSeed(instanceId: InstanceId, startMs: number): number {
   return hashText(digestText(`${instanceId}\n${startMs}`));
 }
--- a/packages/router/src/PeerConfigurationObjects/index.ts
+++ b/packages/router/src/PeerConfigurationObjects/index.ts
@@ -1,17 +1,17 @@
 import type { ConfigurationSpread } from '@acaciacrank/fleet';
 import { ConfigurationObjects } from '@acaciacrank/operators';
 
-/** Configuration objects that other instances have, for when the store does not answer. */
+/** Reads configuration objects from other instances, for use while the store does not respond. */
 export class PeerConfigurationObjects extends ConfigurationObjects {
-  readonly #spread: () => ConfigurationSpread;
+  readonly #gossip: () => ConfigurationSpread;
 
-  /** @param spread - called at each read: the spread itself needs the configuration first */
-  constructor(spread: () => ConfigurationSpread) {
+  /** @param gossip - called at each read, since the gossip is created after the configuration */
+  constructor(gossip: () => ConfigurationSpread) {
     super();
-    this.#spread = spread;
+    this.#gossip = gossip;
   }
 
   override read(digest: string): Promise<string | undefined> {
-    return this.#spread().readObject(digest);
+    return this.#gossip().readObject(digest);
   }
 }
--- a/packages/router/src/PlannedStop/index.ts
+++ b/packages/router/src/PlannedStop/index.ts
@@ -14,73 +14,79 @@
   log: Log;
   metrics: Metrics;
   membership: Membership;
-  /** Callers that wait for an answer. */
+  /** Number of callers that are waiting for an answer. */
   openRequests: () => number;
-  /** Those, and answers and bills that go on after their caller has gone. */
+  /**
+   * The same, plus the answers and billing operations that continue after their caller has
+   * disconnected.
+   */
   openWork: () => number;
-  /** Gives grants back; may fail, they then return when they expire. */
+  /** Returns the grants. If this fails, they become available again when they expire. */
   closeGrants: () => Promise<void>;
 }
 
-/** How far a planned stop has come. */
+/** Phase of a planned stop. */
 export type StopPhase = 'running' | 'announced' | 'refusing' | 'ended';
 
-/** What a planned stop came to. */
+/** Result of a planned stop. */
 export interface StopResult {
-  /** Requests that were under way when the limit came; 0 after a whole stop. */
+  /** Number of requests in progress when the time limit was reached; 0 if all of them finished. */
   readonly cutOffRequests: number;
 }
 
-/** How long after the announcement the last directory may still name this instance. */
-const spreadMs = 2 * millisecondsInSecond;
-/** How often the end of the last request is looked for, in milliseconds. */
-const checkMs = 50;
-/** How long giving grants back may take, in milliseconds. */
-const closeGrantsMs = 5 * millisecondsInSecond;
-/** How long the last word to peers has to leave this machine, in milliseconds. */
-const lastWordMs = 100;
+/**
+ * How long after the announcement the directory of another instance may still name this one, in
+ * milliseconds.
+ */
+const membershipPropagationMs = 2 * millisecondsInSecond;
+/** Interval between checks for remaining work, in milliseconds. */
+const openWorkPollMs = 50;
+/** Timeout for returning the grants, in milliseconds. */
+const closeGrantsTimeoutMs = 5 * millisecondsInSecond;
+/** Time for the final message to peers to be sent, in milliseconds. */
+const finalMessageDelayMs = 100;
 
 /**
- * A planned stop: out of the directory, then no new work, then no streams, then no grants.
+ * Shuts an instance down gracefully: it leaves the directory, then refuses new requests, waits for
+ * open streams to end, and returns its grants.
  *
- * New work is taken as long as a caller may hold an answer that names this instance. Refusing it
- * sooner would turn each replacement into errors at callers who did nothing wrong.
+ * New requests are accepted as long as callers may have a cached directory answer that names this
+ * instance. Refusing them earlier would cause errors for callers each time an instance is replaced.
  */
 export class PlannedStop {
   readonly #options: PlannedStopOptions;
   #phase: StopPhase = 'running';
-  #running: Promise<StopResult> | undefined;
+  #stopTask: Promise<StopResult> | undefined;
 
   constructor(options: PlannedStopOptions) {
     this.#options = options;
   }
 
-  /** How far the stop has come. */
   get phase(): StopPhase {
     return this.#phase;
   }
 
-  /** Whether new work is taken. */
+  /** Whether new requests are accepted. */
   get isAccepting(): boolean {
     return this.#phase === 'running' || this.#phase === 'announced';
   }
 
   /**
-   * Stops; a second call joins the first.
+   * Performs the stop. Further calls return the promise of the first one.
    *
-   * @param limitMs - how long it may take in all
-   * @returns what was cut off, when the limit came first
+   * @param limitMs - time limit of the whole stop, in milliseconds
+   * @returns the number of requests that were cut off because the limit was reached
    *
    * @example
    * const { cutOffRequests } = await plannedStop.run(600_000);
    */
   run(limitMs: number): Promise<StopResult> {
-    this.#running ??= this.#stop(limitMs);
-    return this.#running;
+    this.#stopTask ??= this.#stop(limitMs);
+    return this.#stopTask;
   }
 
-  /** Counts what ends now without having finished. */
-  cutOff(): StopResult {
+  /** Counts and logs the requests in progress as cut off; it does not close them. */
+  recordCutOff(): StopResult {
     const cutOffRequests = this.#options.openRequests();
     if (cutOffRequests > 0) {
       this.#options.metrics.count('requestsCutOff', '', cutOffRequests);
@@ -91,27 +97,29 @@
 
   async #stop(limitMs: number): Promise<StopResult> {
     const { clock, log, membership, openRequests, openWork } = this.#options;
-    const untilMs = clock.monotonicMs() + limitMs;
+    const deadlineMs = clock.monotonicMs() + limitMs;
     this.#phase = 'announced';
     membership.leave();
     log.info({ openRequests: openRequests() }, 'leaving');
-    await clock.sleep(Math.min(limitMs, directoryKeepMs + spreadMs));
+    await clock.sleep(Math.min(limitMs, directoryKeepMs + membershipPropagationMs));
     this.#phase = 'refusing';
     log.info({ openRequests: openRequests() }, 'refusing new requests');
-    while (openWork() > 0 && clock.monotonicMs() < untilMs) await clock.sleep(checkMs);
-    const result = this.cutOff();
+    while (openWork() > 0 && clock.monotonicMs() < deadlineMs) await clock.sleep(openWorkPollMs);
+    const result = this.recordCutOff();
     await this.#closeGrants();
     membership.end();
-    await clock.sleep(lastWordMs);
+    await clock.sleep(finalMessageDelayMs);
     this.#phase = 'ended';
     return result;
   }
 
   async #closeGrants(): Promise<void> {
     const { clock, log, closeGrants } = this.#options;
-    const bound = { kind: 'storeUnavailable', what: 'giving grants back' } as const;
-    await withTimeout(clock, closeGrantsMs, closeGrants, bound).catch((error: unknown) => {
-      log.warn({ err: error }, 'grants were not given back; they return when they expire');
-    });
+    const timeoutError = { kind: 'storeUnavailable', what: 'returning the grants' } as const;
+    await withTimeout(clock, closeGrantsTimeoutMs, closeGrants, timeoutError).catch(
+      (error: unknown) => {
+        log.warn({ err: error }, 'grants were not given back; they return when they expire');
+      },
+    );
   }
 }
--- a/packages/router/src/PlannedStop/test.ts
+++ b/packages/router/src/PlannedStop/test.ts
@@ -3,7 +3,7 @@
 import { FleetQuestions, Membership, NoFleetLinks } from '@acaciacrank/fleet';
 import { PlannedStop } from './index.js';
 
-function open(openRequests: () => number, closeGrants = () => Promise.resolve()) {
+function createStop(openRequests: () => number, closeGrants = () => Promise.resolve()) {
   const clock = new ManualClock();
   const metrics = new Metrics();
   const log = createLog('test', { level: 'fatal' });
@@ -30,9 +30,9 @@
   return { clock, metrics, membership, stop: new PlannedStop(options) };
 }
 
-test('takes new work for the lifetime of a directory answer, then refuses, then ends', async (t) => {
+test('accepts requests until directory answers have expired, then refuses them, then ends', async (t) => {
   let openRequests = 1;
-  const { clock, membership, stop } = open(() => openRequests);
+  const { clock, membership, stop } = createStop(() => openRequests);
   const stopped = stop.run(60_000);
   t.is(membership.self.state, 'leaving');
   await clock.advance(5_000);
@@ -44,26 +44,26 @@
   t.deepEqual([stop.phase, membership.self.state], ['ended', 'left']);
 });
 
-// A stream hangs and the stop's limit comes. The stop must end, and say what it cut off.
-test('the limit ends the stop and counts what it cut off', async (t) => {
-  const { clock, metrics, stop } = open(() => 3);
+// Guards against a stop that never ends because of a stream that hangs.
+test('the time limit ends the stop and counts the requests cut off', async (t) => {
+  const { clock, metrics, stop } = createStop(() => 3);
   const stopped = stop.run(20_000);
   t.deepEqual(await clock.runUntil(stopped, 30_000), { cutOffRequests: 3 });
   t.is(metrics.counter('requestsCutOff'), 3);
 });
 
-// The platform's store is down while an instance is replaced. Grants cannot be given back; the stop
-// must end all the same, since they return by themselves when they expire.
-test('a store that is down does not hold up the stop', async (t) => {
-  const { clock, stop } = open(
+// Guards against a stop that hangs while the platform's store is down and grants cannot be returned.
+// The stop need not wait, since grants become available again when they expire.
+test('an unavailable store does not delay the stop', async (t) => {
+  const { clock, stop } = createStop(
     () => 0,
     () => new Promise(() => undefined),
   );
   t.deepEqual(await clock.runUntil(stop.run(600_000), 15_000), { cutOffRequests: 0 });
 });
 
-test('a second call joins the first', async (t) => {
-  const { clock, stop } = open(() => 0);
+test('a second call returns the promise of the first', async (t) => {
+  const { clock, stop } = createStop(() => 0);
   t.is(stop.run(60_000), stop.run(1));
   await clock.runUntil(stop.run(60_000));
 });
--- a/packages/router/src/bin.ts
+++ b/packages/router/src/bin.ts
@@ -12,22 +12,22 @@
 
 async function main(): Promise<void> {
   const cli = cac('acaciacrank');
-  cli.option('--settings <file>', 'Settings of this instance (YAML)');
+  cli.option('--settings <file>', 'Settings file of this instance (YAML)');
   cli.help();
   cli.version('0.1.0');
   const { options } = cli.parse();
   if (options.help === true || options.version === true) return;
   if (typeof options.settings !== 'string') {
-    process.stderr.write('acaciacrank: --settings FILE is missing; see acaciacrank --help\n');
+    process.stderr.write('acaciacrank: missing --settings FILE; see acaciacrank --help\n');
     process.exitCode = exitCodes.badUsage;
     return;
   }
   const running = await runInstance(readSettings(options.settings, instanceSettingsSchema));
   let isStopping = false;
   const onSignal = () => {
-    // A second signal ends at once: the operator has decided not to wait.
+    // A second signal exits immediately: the operator does not want to wait for the planned stop.
     if (isStopping) {
-      running.instance.plannedStop.cutOff();
+      running.instance.plannedStop.recordCutOff();
       process.exit(exitCodes.failed);
     }
     isStopping = true;
--- a/packages/router/src/createOperatorServer/index.ts
+++ b/packages/router/src/createOperatorServer/index.ts
@@ -20,11 +20,11 @@
   status: () => InstanceStatus;
   /** SHA-256 of the operators' key, in hexadecimal. */
   keyDigest: string;
-  /** Begins a planned stop. */
+  /** Starts a planned stop. */
   onDrain: () => void;
 }
 
-/** Bounds of the port: it serves a few people and a scraper. */
+/** Limits of the port, which serves a few operators and a metrics scraper. */
 const bounds = {
   connections: 64,
   headers: 64,
@@ -34,24 +34,24 @@
   requestMs: 10 * millisecondsInSecond,
 } as const;
 
-interface Answer {
+interface ResponseContent {
   readonly type: string;
   readonly body: string;
 }
 
 /**
- * The server on the operators' port: a status page at `/`, the same as JSON at `/status`, figures at
- * `/metrics`, and `POST /drain` for a planned stop. All of it only with the operators' key.
+ * Creates the server for the operators' port: the status page at `/`, the same as JSON at `/status`,
+ * metrics at `/metrics`, and `POST /drain` for a planned stop. All requests require the operators' key.
  *
- * @param options - what it tells about
- * @returns a server that does not listen yet
+ * @param options - the sources of status and metrics
+ * @returns a server that is not listening yet
  *
  * @example
  * createOperatorServer(options).listen(9090, '10.0.0.5');
  */
 export function createOperatorServer(options: CreateOperatorServerOptions): Server {
   const server = createServer({ maxHeaderSize: bounds.headerBytes }, (request, response) => {
-    boundBody(request);
+    limitBody(request);
     try {
       checkKey(options, request);
       write(response, 200, answer(options, request));
@@ -66,8 +66,8 @@
   return server;
 }
 
-/** No request here has a use for a body: one that is sent is read away, up to a bound. */
-function boundBody(request: IncomingMessage): void {
+/** No request needs a body: one that is sent is read and discarded up to a limit. */
+function limitBody(request: IncomingMessage): void {
   let bytes = 0;
   request.on('data', (chunk: Buffer) => {
     bytes += chunk.length;
@@ -76,21 +76,21 @@
 }
 
 /**
- * Both sides are digests of equal length and compared in constant time, so that the time taken says
- * nothing of how much of a guessed key was right.
+ * Compares digests of equal length in constant time, so that the response time does not reveal how
+ * much of a guessed key is correct.
  */
 function checkKey({ keyDigest, metrics }: CreateOperatorServerOptions, request: IncomingMessage) {
-  const given = Buffer.from(digestText(keyOf(request)), 'hex');
-  if (timingSafeEqual(given, Buffer.from(keyDigest, 'hex'))) return;
+  const requestKeyDigest = Buffer.from(digestText(keyOf(request)), 'hex');
+  if (timingSafeEqual(requestKeyDigest, Buffer.from(keyDigest, 'hex'))) return;
   metrics.count('operatorKeysRefused');
-  throw new RouterError('unauthenticated', "the operators' key is wrong");
+  throw new RouterError('unauthenticated', "invalid operators' key");
 }
 
 /**
- * The key as a bearer token, or as the password that a browser asks for.
+ * Returns the key from the bearer token, or for a GET request from the basic authentication password.
  *
- * A browser sends its password along with requests that other pages make it send. So it opens what
- * only reads; what acts takes the bearer token alone.
+ * A browser also adds the password to requests triggered by other sites (CSRF). Requests with an
+ * effect therefore require the bearer token.
  */
 function keyOf(request: IncomingMessage): string {
   const header = request.headers.authorization ?? '';
@@ -101,7 +101,7 @@
   return decoded.slice(decoded.indexOf(':') + 1);
 }
 
-function answer(options: CreateOperatorServerOptions, request: IncomingMessage): Answer {
+function answer(options: CreateOperatorServerOptions, request: IncomingMessage): ResponseContent {
   const { clock, metrics, status, onDrain } = options;
   const json = () => ({ type: 'application/json', body: JSON.stringify(status()) });
   switch (`${request.method ?? ''} ${request.url ?? ''}`) {
@@ -115,17 +115,20 @@
     case 'GET /metrics':
       return {
         type: 'text/plain; version=0.0.4; charset=utf-8',
-        body: formatMetrics(metrics, gaugesOf(status())),
+        body: formatMetrics(metrics, statusGauges(status())),
       };
     case 'POST /drain':
       onDrain();
       return json();
     default:
-      throw new RouterError('notFound', 'there are GET / /status /metrics and POST /drain');
+      throw new RouterError(
+        'notFound',
+        'not found; available are GET /, GET /status, GET /metrics and POST /drain',
+      );
   }
 }
 
-function gaugesOf(status: InstanceStatus): Gauge[] {
+function statusGauges(status: InstanceStatus): Gauge[] {
   const states = ['listed', 'starting', 'live', 'suspect', 'leaving', 'left', 'dead'] as const;
   return [
     { name: 'accepting', value: status.isAccepting ? 1 : 0 },
@@ -139,7 +142,7 @@
   ];
 }
 
-function write(response: ServerResponse, status: number, { type, body }: Answer): void {
+function write(response: ServerResponse, status: number, { type, body }: ResponseContent): void {
   response.writeHead(status, {
     'content-type': type,
     'cache-control': 'no-store',
--- a/packages/router/src/createOperatorServer/test.ts
+++ b/packages/router/src/createOperatorServer/test.ts
@@ -20,16 +20,16 @@
 const bearer = { authorization: `Bearer ${key}` };
 const basic = { authorization: `Basic ${Buffer.from(`any:${key}`).toString('base64')}` };
 
-async function open() {
+async function startServer() {
   const metrics = new Metrics();
-  let drains = 0;
+  let drainCount = 0;
   const server = createOperatorServer({
     clock: new ManualClock(),
     metrics,
     status: () => status,
     keyDigest: digestText(key),
     onDrain: () => {
-      drains += 1;
+      drainCount += 1;
     },
   });
   await new Promise<void>((resolve) => {
@@ -57,11 +57,11 @@
     server.close();
     server.closeAllConnections();
   };
-  return { send, metrics, drains: () => drains, [Symbol.dispose]: close };
+  return { send, metrics, drainCount: () => drainCount, [Symbol.dispose]: close };
 }
 
-test('answers page, status and metrics with the key only', async (t) => {
-  using port = await open();
+test('serves the page, status and metrics only with the key', async (t) => {
+  using port = await startServer();
   for (const path of ['/', '/status', '/metrics']) {
     t.is((await port.send('GET', path, bearer)).code, 200, path);
     t.is((await port.send('GET', path, basic)).code, 200, path);
@@ -73,19 +73,19 @@
   t.like(JSON.parse((await port.send('GET', '/status', bearer)).body), { instanceId: 'entry-1' });
 });
 
-// An operator has the status page open, and visits a page that posts a form to the operators' port.
-// The browser adds the password by itself; the instance must not be stopped by that.
-test('a drain needs the bearer key, which no browser adds by itself', async (t) => {
-  using port = await open();
+// Guards against CSRF: an operator with the status page open visits a site that posts a form to the
+// operators' port, and the browser adds the password. This must not stop the instance.
+test('a drain requires the bearer token, which browsers do not add by themselves', async (t) => {
+  using port = await startServer();
   t.is((await port.send('POST', '/drain', basic)).code, 401);
   t.is((await port.send('GET', '/drain', bearer)).code, 404);
-  t.is(port.drains(), 0);
+  t.is(port.drainCount(), 0);
   t.is((await port.send('POST', '/drain', bearer)).code, 200);
-  t.is(port.drains(), 1);
+  t.is(port.drainCount(), 1);
 });
 
-test('headers that are too large are refused', async (t) => {
-  using port = await open();
+test('headers that are too large are rejected', async (t) => {
+  using port = await startServer();
   const { code } = await port.send('GET', '/status', { ...bearer, padding: 'x'.repeat(9_000) });
   t.is(code, 431);
 });
--- a/packages/router/src/describeInstance/index.ts
+++ b/packages/router/src/describeInstance/index.ts
@@ -1,26 +1,26 @@
 import type { Member, Membership } from '@acaciacrank/fleet';
 import type { Instance } from '../Instance/index.js';
 
-/** What an instance says of itself to operators. */
+/** Status of an instance, as operators see it. */
 export type InstanceStatus = ReturnType<typeof describeInstance>;
 
-/** One other instance, as this one sees it. */
+/** Status of another instance, as this one sees it. */
 export interface MemberStatus {
   readonly id: string;
   readonly state: Member['state'];
   readonly failureDomain: string;
   readonly sinceMs: number;
   readonly isListed: boolean;
-  /** null where this instance does not know: only neighbours tell each other. */
+  /** null if unknown: instances send their version only to their neighbours. */
   readonly configurationVersion: number | null;
 }
 
 /**
- * What is true at one instance, and what it does not know.
+ * Describes the status of an instance. What the instance does not know is null.
  *
- * @param instance - which one
- * @param instanceId - its id
- * @returns plain data, for JSON and for the status page
+ * @param instance - the instance
+ * @param instanceId - id of the instance
+ * @returns plain data, for the JSON response and the status page
  *
  * @example
  * describeInstance(instance, 'entry-1').configuration?.version;
@@ -39,7 +39,7 @@
         ? null
         : { version: inForce.version, digest: inForce.digest, sinceMs: inForce.sinceMs },
     configurationProblem: instance.configuration.problem ?? null,
-    members: membersOf(instance.membership),
+    members: describeMembers(instance.membership),
     upstreams: instance.registry.all().map(({ id, service, state, inFlightRequests }) => ({
       id,
       service,
@@ -49,7 +49,7 @@
   };
 }
 
-function membersOf(membership: Membership): MemberStatus[] {
+function describeMembers(membership: Membership): MemberStatus[] {
   return membership.members.value
     .map(({ id, state, failureDomain, sinceMs, isListed }) => ({
       id,
--- a/packages/router/src/formatStatusPage/index.ts
+++ b/packages/router/src/formatStatusPage/index.ts
@@ -2,15 +2,16 @@
 
 /** Options of {@link formatStatusPage}. */
 export interface FormatStatusPageOptions {
-  /** Now, in milliseconds since 1970. */
+  /** Current time, in milliseconds since the Unix epoch. */
   nowMs: number;
 }
 
 /**
- * The status as a page for a browser: what is in force, who is seen, and what is not known.
+ * Formats the status of an instance as an HTML page: the configuration in force, the other instances,
+ * and what is unknown.
  *
- * @param status - of this instance
- * @param options - the time
+ * @param status - status of this instance
+ * @param options - the current time
  * @returns HTML without scripts; all values are escaped
  *
  * @example
@@ -20,8 +21,9 @@
   status: InstanceStatus,
   { nowMs }: FormatStatusPageOptions,
 ): string {
-  const ago = (sinceMs: number) => `${Math.max(0, Math.round((nowMs - sinceMs) / 1_000))} s ago`;
-  const members = status.members.map((member) => memberRow(member, ago(member.sinceMs)));
+  const formatAge = (sinceMs: number) =>
+    `${Math.max(0, Math.round((nowMs - sinceMs) / 1_000))} s ago`;
+  const members = status.members.map((member) => memberRow(member, formatAge(member.sinceMs)));
   const upstreams = status.upstreams.map(({ id, service, state, inFlightRequests }) =>
     row([id, service, state, String(inFlightRequests)]),
   );
@@ -30,14 +32,14 @@
     `<title>${escapeHtml(status.instanceId)}</title><style>${style}</style></head><body>`,
     `<h1>Instance ${escapeHtml(status.instanceId)}</h1>`,
     `<p>${escapeHtml(workText(status))}</p>`,
-    `<p>${escapeHtml(configurationText(status, ago))}</p>`,
+    `<p>${escapeHtml(configurationText(status, formatAge))}</p>`,
     problemText(status),
     `<h2>Other instances, as seen from here</h2>`,
     `<p>${escapeHtml(unknownText(status.members))}</p>`,
     table(['instance', 'state', 'since', 'failure domain', 'listed', 'configuration'], members),
     '<h2>Upstreams</h2>',
     table(['upstream', 'service', 'state', 'requests from here'], upstreams),
-    '<p>Figures: <a href="/metrics">/metrics</a>. The same as data: <a href="/status">/status</a>.</p>',
+    '<p>Metrics: <a href="/metrics">/metrics</a>. This page as JSON: <a href="/status">/status</a>.</p>',
     '</body></html>',
   ].join('\n');
 }
@@ -62,11 +64,11 @@
 
 function configurationText(
   { configuration }: InstanceStatus,
-  ago: (sinceMs: number) => string,
+  formatAge: (sinceMs: number) => string,
 ): string {
   if (configuration === null) return 'Configuration: none is in force here.';
   const { version, digest, sinceMs } = configuration;
-  return `Configuration: version ${version} (digest ${digest.slice(0, 12)}) is in force here since ${ago(sinceMs)}.`;
+  return `Configuration: version ${version} (digest ${digest.slice(0, 12)}) is in force here since ${formatAge(sinceMs)}.`;
 }
 
 function problemText({ configurationProblem }: InstanceStatus): string {
@@ -74,16 +76,18 @@
   return `<p><strong>${escapeHtml(`Not taken up: ${configurationProblem.message}`)}</strong></p>`;
 }
 
-/** What this page cannot say; a missing answer must never look like a good one. */
+/** States what is unknown, so that missing information is never mistaken for a good status. */
 function unknownText(members: readonly MemberStatus[]): string {
-  const unreached = members.filter(({ state }) => state === 'dead' || state === 'suspect').length;
-  const unheard = members.filter(({ state }) => state === 'listed').length;
+  const unreachableCount = members.filter(
+    ({ state }) => state === 'dead' || state === 'suspect',
+  ).length;
+  const neverSeenCount = members.filter(({ state }) => state === 'listed').length;
   const unknown = members.filter(({ configurationVersion }) => configurationVersion === null);
   return [
     `${members.length} are known.`,
-    `${unreached} cannot be reached: whether they run, and with which configuration, is unknown.`,
-    `${unheard} are on the platform's list and were never heard of.`,
-    `The configuration of ${unknown.length} is unknown here; their own pages tell it.`,
+    `${unreachableCount} cannot be reached: whether they run, and with which configuration, is unknown.`,
+    `${neverSeenCount} are on the platform's list but have never sent a message to this instance.`,
+    `The configuration of ${unknown.length} is unknown here; see their own status pages.`,
   ].join(' ');
 }
 
--- a/packages/router/src/formatStatusPage/test.ts
+++ b/packages/router/src/formatStatusPage/test.ts
@@ -22,31 +22,31 @@
   configurationVersion: null,
 };
 
-test('says what is in force and since when', (t) => {
+test('shows the configuration in force and its age', (t) => {
   const page = formatStatusPage(status, { nowMs: 61_000 });
   t.regex(page, /version 7 \(digest abcdef012345\) is in force here since 60 s ago/);
   t.regex(page, /Takes new requests. 3 requests are under way/);
 });
 
-test('says what is unknown as unknown', (t) => {
+test('shows unknown values as unknown', (t) => {
   const page = formatStatusPage({ ...status, members: [member] }, { nowMs: 5_000 });
   t.regex(page, /1 cannot be reached: whether they run, and with which configuration, is unknown/);
   t.regex(page, /<td>dead<\/td>.*<td>unknown<\/td>/);
 });
 
-test('an instance without a configuration is not said to be fine', (t) => {
+test('an instance without a configuration is not shown as ready', (t) => {
   const empty = { ...status, isAccepting: false, configuration: null };
   const page = formatStatusPage(empty, { nowMs: 0 });
   t.regex(page, /none is in force here/);
   t.regex(page, /Takes no requests: it has no configuration yet/);
 });
 
-// A document's name or a listed instance's id with a tag in it must not run in an operator's
-// browser, which holds the operators' key.
+// Guards against HTML in a configuration or an instance id that runs as a script in the browser of an
+// operator, which has the operators' key.
 test('values are escaped', (t) => {
-  const evil = { ...member, id: '<script>alert("1")</script>' };
+  const maliciousMember = { ...member, id: '<script>alert("1")</script>' };
   const problem = { version: 8, message: `<img src='x'>`, sinceMs: 0 };
-  const members = [evil];
+  const members = [maliciousMember];
   const page = formatStatusPage(
     { ...status, members, configurationProblem: problem },
     { nowMs: 0 },
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The instance: all packages wired together, and its ports.
+ * A complete instance: connects the other packages and opens the ports.
  */
 export * from './instanceSettings/index.js';
 export * from './AccountDemand/index.js';
--- a/packages/router/src/runInstance/index.ts
+++ b/packages/router/src/runInstance/index.ts
@@ -27,23 +27,23 @@
 import type { InstanceSettings } from '../instanceSettings/index.js';
 import type { StopResult } from '../PlannedStop/index.js';
 
-/** An instance that listens. */
+/** A running instance with open ports. */
 export interface RunningInstance extends AsyncDisposable {
   readonly instance: Instance;
   readonly callersPort: number;
   readonly operatorsPort: number;
-  /** Makes a planned stop, then closes everything. */
+  /** Performs a planned stop, then closes all resources. */
   stop(): Promise<StopResult>;
-  /** Settles when a stop that an operator asked for has ended. */
+  /** Resolves when a planned stop has ended, however it was started. */
   readonly stopped: Promise<StopResult>;
 }
 
 /**
- * Runs an instance with its ports, on the real clock, platform and upstreams.
+ * Runs an instance with its ports, using the system clock, the platform and HTTP upstreams.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @returns the running instance
- * @throws RouterError `storeUnavailable` when the platform does not answer at the start
+ * @throws RouterError `storeUnavailable` if the platform does not respond at startup
  *
  * @example
  * const running = await runInstance(readSettings('instance.yaml', instanceSettingsSchema));
@@ -63,7 +63,7 @@
     onStopped(result);
     return result;
   };
-  const callersPort = await listen(createCallers(instance), settings.callers, owned);
+  const callersPort = await listen(createCallersServer(instance), settings.callers, owned);
   const { keyDigest } = settings.operators;
   const operators = createOperatorServer({
     clock: new SystemClock(),
@@ -73,7 +73,7 @@
     onDrain: () => void stop(),
   });
   const operatorsPort = await listen(operators, settings.operators, owned);
-  await instance.start({ url: urlOf('http', settings.callers.ip, callersPort), fleetUrl });
+  await instance.start({ url: formatUrl('http', settings.callers.ip, callersPort), fleetUrl });
   log.info({ callersPort, operatorsPort, fleetUrl }, 'listening');
   return {
     instance,
@@ -113,37 +113,38 @@
 async function openLinks(
   settings: InstanceSettings,
   owned: DisposableStore,
-  parts: Pick<WsFleetLinksOptions, 'clock' | 'random' | 'metrics' | 'log'>,
+  sharedOptions: Pick<WsFleetLinksOptions, 'clock' | 'random' | 'metrics' | 'log'>,
 ): Promise<{ links: FleetLinks; fleetUrl: string }> {
   const { fleet, environment } = settings;
   if (fleet === undefined) return { links: new NoFleetLinks(), fleetUrl: '' };
   const instanceId = settings.instanceId as InstanceId;
   const links = owned.add(
-    new WsFleetLinks({ ...parts, instanceId, environment, keys: fleet.keys }),
+    new WsFleetLinks({ ...sharedOptions, instanceId, environment, keys: fleet.keys }),
   );
   const port = await links.listen(fleet);
-  return { links, fleetUrl: urlOf('ws', fleet.ip, port) };
+  return { links, fleetUrl: formatUrl('ws', fleet.ip, port) };
 }
 
-function createCallers(instance: Instance): Server {
+function createCallersServer(instance: Instance): Server {
   const callers = createCallerServer({
     chat: instance.chat,
     services: instance.services,
     metrics: instance.metrics,
-    directory: (accountKey, near) => instance.findInstances(accountKey, near),
+    directory: (accountKey, nearFailureDomain) =>
+      instance.findInstances(accountKey, nearFailureDomain),
     isAccepting: () => instance.isAccepting,
   });
   callers.on('request', (request, response) => {
     const accountKey = /^Bearer (.+)$/.exec(request.headers.authorization ?? '')?.[1];
-    const open = instance.beginRequest(accountKey);
+    const openRequest = instance.beginRequest(accountKey);
     response.once('close', () => {
-      open[Symbol.dispose]();
+      openRequest[Symbol.dispose]();
     });
   });
   return callers;
 }
 
-function urlOf(scheme: 'http' | 'ws', ip: string, port: number): string {
+function formatUrl(scheme: 'http' | 'ws', ip: string, port: number): string {
   return `${scheme}://${isIPv6(ip) ? `[${ip}]` : ip}:${port}`;
 }
 
