--- a/packages/ledger/src/BudgetLedger/index.ts
+++ b/packages/ledger/src/BudgetLedger/index.ts
@@ -597,6 +597,6 @@
 ): RouterError {
   return new RouterError(
     'budgetExhausted',
-    `budget ${budget.budgetId} has ${denied.availableTokens} available tokens; ${neededTokens} are needed`,
+    `budget ${budget.budgetId} has ${denied.availableTokens} tokens that are not in use; ${neededTokens} are needed`,
   );
 }
