--- a/packages/base/src/describeError/index.ts
+++ b/packages/base/src/describeError/index.ts
@@ -7,10 +7,10 @@
  * @returns the same error if it is a `RouterError`, else a new one of kind `internal`
  *
  * @example
- * describeError(new TypeError('x')).kind;
+ * toRouterError(new TypeError('x')).kind;
  * //=> 'internal'
  */
-export function describeError(thrown: unknown): RouterError {
+export function toRouterError(thrown: unknown): RouterError {
   if (thrown instanceof RouterError) return thrown;
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown));
   return new RouterError('internal', cause.message, { cause });
--- a/packages/base/src/withTimeout/index.ts
+++ b/packages/base/src/withTimeout/index.ts
@@ -14,13 +14,13 @@
    * Maximum total time for work that keeps making progress, in milliseconds. It equals the timeout by
    * default, so that progress does not extend the time.
    */
-  longestMs?: number;
+  maxTotalMs?: number;
 }
 
 /**
  * Runs work with a timeout; the signal passed to the work is aborted on timeout.
  *
- * Each call of `onProgress` restarts the timeout, up to `longestMs` in total.
+ * Each call of `onProgress` restarts the timeout, up to `maxTotalMs` in total.
  *
  * @param clock - measures the time
  * @param timeoutMs - how long the work may take without progress, in milliseconds
@@ -42,7 +42,7 @@
   options: WithTimeoutOptions,
 ): Promise<Value> {
   const controller = new AbortController();
-  const deadlineMs = clock.monotonicMs() + (options.longestMs ?? timeoutMs);
+  const deadlineMs = clock.monotonicMs() + (options.maxTotalMs ?? timeoutMs);
   const onOuterAbort = () => {
     controller.abort();
   };
--- a/packages/base/src/withTimeout/test.ts
+++ b/packages/base/src/withTimeout/test.ts
@@ -34,7 +34,7 @@
       reportProgress = onProgress;
       return new Promise<never>(() => undefined);
     },
-    { kind: 'storeUnavailable', what: 'reading', longestMs: 250 },
+    { kind: 'storeUnavailable', what: 'reading', maxTotalMs: 250 },
   );
   let isEnded = false;
   const rejected = t.throwsAsync(work, { message: /reading took longer than/ }).then(() => {
--- a/packages/callers/src/ChatHandler/index.ts
+++ b/packages/callers/src/ChatHandler/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   hashText,
   millisecondsInSecond,
   RouterError,
@@ -178,7 +178,7 @@
         else end = frame;
       }
     } catch (thrown) {
-      this.#failEarly(attempt, held, progress, describeError(thrown));
+      this.#failEarly(attempt, held, progress, toRouterError(thrown));
     }
     if (end === undefined)
       throw new RouterError('upstreamFailed', 'the engine stream ended without an end frame');
--- a/packages/callers/src/EngineDispatch/index.ts
+++ b/packages/callers/src/EngineDispatch/index.ts
@@ -1,5 +1,5 @@
 import { RouterError, type ClassName, type RequestId, type ServiceName } from '@acaciacrank/base';
-import type { Upstream, UpstreamUse } from '@acaciacrank/routing';
+import type { Upstream, InFlightRequest } from '@acaciacrank/routing';
 import {
   checkFrames,
   watchProgress,
@@ -133,7 +133,7 @@
     engine: EngineClient,
     task: GenerationTask,
     state: StreamState,
-    inFlight: UpstreamUse,
+    inFlight: InFlightRequest,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const { clock, metrics, random } = this.#options;
--- a/packages/callers/src/ServiceDispatch/index.ts
+++ b/packages/callers/src/ServiceDispatch/index.ts
@@ -6,7 +6,7 @@
   type ServiceName,
 } from '@acaciacrank/base';
 import type { Upstream } from '@acaciacrank/routing';
-import type { ServiceAnswer, ServiceRequest } from '@acaciacrank/upstreams';
+import type { ServiceResponse, ServiceRequest } from '@acaciacrank/upstreams';
 import { toPossiblyRunError } from '../_lib/toPossiblyRunError/index.js';
 import { UpstreamPicker, type UpstreamPickerOptions } from '../_lib/UpstreamPicker/index.js';
 import { abortReason, untilAborted } from '../_lib/untilAborted/index.js';
@@ -35,7 +35,7 @@
 const unavailableStatus = 503;
 
 /** The result of one attempt at one upstream. */
-type Attempt = { readonly answer: ServiceAnswer } | { readonly error: RouterError };
+type Attempt = { readonly answer: ServiceResponse } | { readonly error: RouterError };
 
 /**
  * Makes one call at one upstream, and retries at another only where that is safe: if no byte of the
@@ -56,7 +56,7 @@
    * @returns the service's response, whatever its status
    * @throws RouterError whose `ran` is `notRun` only if no upstream can have run the call
    */
-  async call(task: ServiceCallTask, signal: AbortSignal): Promise<ServiceAnswer> {
+  async call(task: ServiceCallTask, signal: AbortSignal): Promise<ServiceResponse> {
     const picker = new UpstreamPicker(this.#options, { ...task, dueMs: task.answerDueMs });
     let mayHaveRun = false;
     let lastAttempt: Attempt | undefined;
@@ -97,7 +97,7 @@
     upstream: Upstream,
     task: ServiceCallTask,
     signal: AbortSignal,
-  ): Promise<ServiceAnswer> {
+  ): Promise<ServiceResponse> {
     const { clock, registry } = this.#options;
     const { plain } = upstream;
     if (plain === undefined) {
--- a/packages/callers/src/ServiceHandler/index.ts
+++ b/packages/callers/src/ServiceHandler/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   millisecondsInSecond,
   RouterError,
   withTimeout,
@@ -18,7 +18,7 @@
   type ConfigurationInForce,
   type PlainServiceDocument,
 } from '@acaciacrank/operators';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 import { createCallerDeadline } from '../_lib/createCallerDeadline/index.js';
 import { DeadlineSignal } from '../_lib/DeadlineSignal/index.js';
 import { reserveTokens, reserveTokensOrFindBill } from '../_lib/reserveTokens/index.js';
@@ -74,7 +74,7 @@
 
 interface RunningCall {
   readonly digest: string;
-  readonly answer: Promise<ServiceAnswer>;
+  readonly answer: Promise<ServiceResponse>;
 }
 
 /** Handles calls to plain services; calls that are not idempotent run at most once. */
@@ -103,7 +103,7 @@
    * @returns the service's response; the stored one if a non-idempotent call is retried
    * @throws RouterError of any kind
    */
-  async run(call: ServiceCall, signal: AbortSignal): Promise<ServiceAnswer> {
+  async run(call: ServiceCall, signal: AbortSignal): Promise<ServiceResponse> {
     const attempt = this.#createAttempt(call);
     this.#options.metrics.count('requests', attempt.series);
     const { totalDeadlineMs } = attempt.classEntry;
@@ -147,7 +147,7 @@
    * An idempotent call is billed only after its response has arrived: until then the caller can
    * retry.
    */
-  async #runRepeatable(attempt: Attempt, signal: AbortSignal): Promise<ServiceAnswer> {
+  async #runRepeatable(attempt: Attempt, signal: AbortSignal): Promise<ServiceResponse> {
     using deadline = this.#deadline(attempt, signal);
     using held = await this.#reserve(attempt);
     const answer = await this.#dispatch(attempt, held, deadline.signal);
@@ -164,14 +164,14 @@
    * A retry that arrives while the call is running here waits for the same response. The call
    * continues if its caller disconnects: it cannot be undone, and a retry needs its outcome.
    */
-  #joinOrRunOnce(attempt: Attempt): Promise<ServiceAnswer> {
+  #joinOrRunOnce(attempt: Attempt): Promise<ServiceResponse> {
     const existing = this.#running.get(attempt.key);
     if (existing === undefined) return this.#start(attempt);
     if (existing.digest === attempt.digest) return existing.answer;
     throw new RouterError('keyReused', 'the idempotency key was used with another body');
   }
 
-  #start(attempt: Attempt): Promise<ServiceAnswer> {
+  #start(attempt: Attempt): Promise<ServiceResponse> {
     const answer = this.#runOnce(attempt);
     this.#running.set(attempt.key, { digest: attempt.digest, answer });
     const removeRunning = () => {
@@ -181,7 +181,7 @@
     return answer;
   }
 
-  async #runOnce(attempt: Attempt): Promise<ServiceAnswer> {
+  async #runOnce(attempt: Attempt): Promise<ServiceResponse> {
     let held: TokenReservation | undefined;
     try {
       held = await this.#reserve(attempt);
@@ -193,7 +193,10 @@
   }
 
   /** Records an intent, dispatches at most once, then writes the bill and the outcome. */
-  async #runReserved(attempt: Attempt, held: TokenReservation | undefined): Promise<ServiceAnswer> {
+  async #runReserved(
+    attempt: Attempt,
+    held: TokenReservation | undefined,
+  ): Promise<ServiceResponse> {
     const { clock, records } = this.#options;
     const { key, requestId, digest } = attempt;
     using deadline = this.#deadline(attempt, new AbortController().signal);
@@ -202,11 +205,11 @@
       deadline.signal,
     );
     if (begun.kind === 'earlier') return answerFromRecord(begun.record, clock.wallMs());
-    let answer: ServiceAnswer;
+    let answer: ServiceResponse;
     try {
       answer = await this.#dispatch(attempt, held, deadline.signal);
     } catch (error) {
-      throw await this.#handleUnanswered(attempt, held, begun.version, describeError(error));
+      throw await this.#handleUnanswered(attempt, held, begun.version, toRouterError(error));
     }
     attempt.progress.isAnswered = true;
     await this.#bill(attempt, held);
@@ -218,7 +221,7 @@
    * A retry that cannot reserve tokens, for example because its first attempt used up the budget,
    * still gets the response of the first attempt, which needs no tokens.
    */
-  async #answerFromRecordOrThrow(attempt: Attempt, error: unknown): Promise<ServiceAnswer> {
+  async #answerFromRecordOrThrow(attempt: Attempt, error: unknown): Promise<ServiceResponse> {
     const { clock, records } = this.#options;
     const find = () => records.find(attempt.key);
     const limit = { kind: 'storeUnavailable', what: 'reading the record' } as const;
@@ -294,7 +297,7 @@
     attempt: Attempt,
     held: TokenReservation | undefined,
     signal: AbortSignal,
-  ): Promise<ServiceAnswer> {
+  ): Promise<ServiceResponse> {
     const { call, requestId, service, classEntry, isRepeatable, startedMs } = attempt;
     const { method, path, headers, body } = call;
     return this.#options.services.call(
--- a/packages/callers/src/_lib/UpstreamPicker/index.ts
+++ b/packages/callers/src/_lib/UpstreamPicker/index.ts
@@ -2,7 +2,12 @@
  * Picks the upstreams that a request tries.
  */
 import type { ClassName, Clock, Metrics, Random, ServiceName, UpstreamId } from '@acaciacrank/base';
-import type { RetryBudget, Upstream, UpstreamChoice, UpstreamRegistry } from '@acaciacrank/routing';
+import type {
+  RetryBudget,
+  Upstream,
+  UpstreamSelector,
+  UpstreamRegistry,
+} from '@acaciacrank/routing';
 
 /** Options of {@link UpstreamPicker}. */
 export interface UpstreamPickerOptions {
@@ -10,7 +15,7 @@
   random: Random;
   metrics: Metrics;
   registry: UpstreamRegistry;
-  choice: UpstreamChoice;
+  choice: UpstreamSelector;
   retries: RetryBudget;
 }
 
--- a/packages/callers/src/_lib/storedAnswer/index.ts
+++ b/packages/callers/src/_lib/storedAnswer/index.ts
@@ -3,7 +3,7 @@
  */
 import { bytesInKibibyte, millisecondsInMinute, RouterError } from '@acaciacrank/base';
 import type { RequestRecord } from '@acaciacrank/ledger';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 
 /** Largest response body that is stored in a record, in bytes. */
 export const maxStoredAnswerBytes = 64 * bytesInKibibyte;
@@ -16,12 +16,12 @@
 /** A response as stored in a record. */
 export interface StoredAnswer {
   readonly status: number;
-  readonly headers: ServiceAnswer['headers'];
+  readonly headers: ServiceResponse['headers'];
   readonly bodyBase64: string;
 }
 
 /** Converts a response to its stored form; returns undefined if its body is too large. */
-export function toStoredAnswer(answer: ServiceAnswer): StoredAnswer | undefined {
+export function toStoredAnswer(answer: ServiceResponse): StoredAnswer | undefined {
   if (answer.body.byteLength > maxStoredAnswerBytes) return undefined;
   const bodyBase64 = Buffer.from(answer.body).toString('base64');
   return { status: answer.status, headers: answer.headers, bodyBase64 };
@@ -36,7 +36,7 @@
  * @throws RouterError `outcomeUnknown`; with `retryAfterMs` while the call may still be running,
  * since its record may contain the response by then
  */
-export function answerFromRecord(record: RequestRecord, nowMs: number): ServiceAnswer {
+export function answerFromRecord(record: RequestRecord, nowMs: number): ServiceResponse {
   const storedAnswer = record.answer as StoredAnswer | undefined;
   if (record.state === 'ran' && storedAnswer !== undefined) {
     const body = Buffer.from(storedAnswer.bodyBase64, 'base64');
--- a/packages/callers/src/createCallerServer/index.ts
+++ b/packages/callers/src/createCallerServer/index.ts
@@ -1,7 +1,7 @@
 import {
   bytesInKibibyte,
   bytesInMebibyte,
-  describeError,
+  toRouterError,
   millisecondsInSecond,
   parseId,
   RouterError,
@@ -13,7 +13,7 @@
   type Random,
 } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 import { randomUUID } from 'node:crypto';
 import {
   createServer,
@@ -34,7 +34,7 @@
 import type { CallIdentity, ChatCall, ChatFinalFrame, ChatFrame } from '../types.js';
 
 /** The response of the directory. */
-export interface DirectoryAnswer {
+export interface DirectoryResponse {
   readonly instances: readonly Pick<ListedInstance, 'id' | 'url' | 'failureDomain'>[];
   /** How long the response may be cached, in milliseconds. */
   readonly keepMs: number;
@@ -49,7 +49,7 @@
    * Looks up the directory for an account key and, optionally, the failure domain that the caller
    * is in.
    */
-  directory: (accountKey: string | undefined, near: string | undefined) => DirectoryAnswer;
+  directory: (accountKey: string | undefined, near: string | undefined) => DirectoryResponse;
   /** Whether the instance accepts new requests. */
   isAccepting: () => boolean;
   /** Overrides of {@link defaultCallerLimits}. */
@@ -123,7 +123,7 @@
     // request.
     response.on('error', () => undefined);
     route(context, request, response).catch((thrown: unknown) => {
-      const error = describeError(thrown);
+      const error = toRouterError(thrown);
       options.metrics.count('refused', error.kind);
       if (!response.headersSent) writeError(response, error, context.random);
       else response.destroy();
@@ -218,7 +218,7 @@
   } catch (thrown) {
     if (!response.headersSent) throw thrown;
     // The headers have been sent, so the error is sent as an event and no final frame follows.
-    const error = describeError(thrown);
+    const error = toRouterError(thrown);
     context.metrics.count('brokenOff', error.kind);
     await writer.write(formatEvent(JSON.stringify(errorBody(error, context.random))));
     await writer.end();
@@ -311,7 +311,7 @@
 /**
  * A response to HEAD declares the length of the omitted body; 204 and 304 responses have no body.
  */
-function contentLengthOf(answer: ServiceAnswer, method: string | undefined): string | undefined {
+function contentLengthOf(answer: ServiceResponse, method: string | undefined): string | undefined {
   const { 'content-length': declaredLength } = answer.headers;
   if (method === 'HEAD') return typeof declaredLength === 'string' ? declaredLength : undefined;
   if (answer.status === 204 || answer.status === 304) return undefined;
--- a/packages/callers/src/createCallerServer/test.ts
+++ b/packages/callers/src/createCallerServer/test.ts
@@ -1,6 +1,6 @@
 import test, { type ExecutionContext } from 'ava';
 import { ManualClock, Metrics, RouterError, type RequestId } from '@acaciacrank/base';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 import type { ServerResponse } from 'node:http';
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import type { ChatFrame, ServiceCall } from '../types.js';
@@ -17,7 +17,7 @@
 }
 
 interface RigOptions extends Partial<CreateCallerServerOptions> {
-  answer?: (call: ServiceCall) => Promise<ServiceAnswer>;
+  answer?: (call: ServiceCall) => Promise<ServiceResponse>;
   frames?: () => AsyncIterable<ChatFrame>;
 }
 
@@ -144,7 +144,7 @@
 // Guards against running out of memory: many callers each send a body within the size limit, and
 // their requests stay unanswered for long.
 test('the total size of bodies is bounded, and is freed when responses end', async (t) => {
-  let answerFirst: (answer: ServiceAnswer) => void = () => undefined;
+  let answerFirst: (answer: ServiceResponse) => void = () => undefined;
   let arrive: () => void = () => undefined;
   const arrived = new Promise<void>((resolve) => {
     arrive = resolve;
@@ -153,7 +153,7 @@
   const answer = (call: ServiceCall) => {
     if (call.path !== '/first') return Promise.resolve(ok);
     arrive();
-    return new Promise<ServiceAnswer>((resolve) => {
+    return new Promise<ServiceResponse>((resolve) => {
       answerFirst = resolve;
     });
   };
--- a/packages/ctl/src/HttpOperatorPorts/index.ts
+++ b/packages/ctl/src/HttpOperatorPorts/index.ts
@@ -2,11 +2,11 @@
 import type { ListedInstance } from '@acaciacrank/store';
 import { request } from 'undici';
 import { z } from 'zod';
-import { OperatorPorts } from '../OperatorPorts/index.js';
+import { OperatorPortClient } from '../OperatorPorts/index.js';
 import type { InstanceAnswer } from '../types.js';
 
-/** Options of {@link HttpOperatorPorts}. */
-export interface HttpOperatorPortsOptions {
+/** Options of {@link HttpOperatorPortClient}. */
+export interface HttpOperatorPortClientOptions {
   clock: Clock;
   /** The key that operators authenticate with; undefined when none was given. */
   key: string | undefined;
@@ -24,10 +24,10 @@
 });
 
 /** Calls the operators' ports of instances over HTTP, authenticated with the operators' key. */
-export class HttpOperatorPorts extends OperatorPorts {
-  readonly #options: HttpOperatorPortsOptions;
+export class HttpOperatorPortClient extends OperatorPortClient {
+  readonly #options: HttpOperatorPortClientOptions;
 
-  constructor(options: HttpOperatorPortsOptions) {
+  constructor(options: HttpOperatorPortClientOptions) {
     super();
     this.#options = options;
   }
--- a/packages/ctl/src/OperatorPorts/index.ts
+++ b/packages/ctl/src/OperatorPorts/index.ts
@@ -2,7 +2,7 @@
 import type { InstanceAnswer } from '../types.js';
 
 /** Client of the operators' ports, the administration endpoints of instances. */
-export abstract class OperatorPorts {
+export abstract class OperatorPortClient {
   /**
    * Asks an instance for its status.
    *
--- a/packages/ctl/src/bin.ts
+++ b/packages/ctl/src/bin.ts
@@ -2,7 +2,7 @@
 /**
  * `acaciacrankctl`, the command-line tool for operators.
  */
-import { describeError, RouterError } from '@acaciacrank/base';
+import { toRouterError, RouterError } from '@acaciacrank/base';
 import { cac } from 'cac';
 import { createContext, environmentVariables, type ContextOptions } from './createContext/index.js';
 import { exitCodeHelp, exitCodeOf, exitCodes } from './exitCodes/index.js';
@@ -170,7 +170,7 @@
   const isUsageError = thrown instanceof Error && thrown.name === 'CACError';
   const error = isUsageError
     ? new RouterError('badRequest', thrown.message)
-    : describeError(thrown);
+    : toRouterError(thrown);
   const { kind, message, ran } = error;
   if (process.argv.includes('--json')) {
     process.stdout.write(`${JSON.stringify({ error: { kind, message, ran } })}\n`);
--- a/packages/ctl/src/createContext/index.ts
+++ b/packages/ctl/src/createContext/index.ts
@@ -2,7 +2,7 @@
 import { PlatformObjectStore } from '@acaciacrank/platform';
 import { StoredInstanceList } from '@acaciacrank/store';
 import { readFileSync } from 'node:fs';
-import { HttpOperatorPorts } from '../HttpOperatorPorts/index.js';
+import { HttpOperatorPortClient } from '../HttpOperatorPorts/index.js';
 import type { CommandContext } from '../types.js';
 
 /** Environment variables that are used where the options are not given. */
@@ -48,8 +48,8 @@
   return {
     clock,
     store,
-    list: new StoredInstanceList(store),
-    ports: new HttpOperatorPorts({ clock, key: readKey(options.keyFile) }),
+    instanceList: new StoredInstanceList(store),
+    operatorPortClient: new HttpOperatorPortClient({ clock, key: readKey(options.keyFile) }),
     waitMs: options.waitMs ?? defaultWaitMs,
   };
 }
--- a/packages/ctl/src/queryInstances/index.ts
+++ b/packages/ctl/src/queryInstances/index.ts
@@ -1,4 +1,4 @@
-import { describeError } from '@acaciacrank/base';
+import { toRouterError } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
 import type { CommandContext, FleetView, InstanceView } from '../types.js';
 
@@ -26,7 +26,7 @@
   try {
     entries = await listEntryInstances(context, environment);
   } catch (thrown) {
-    return { instances: [], listProblem: describeError(thrown).message };
+    return { instances: [], listProblem: toRouterError(thrown).message };
   }
   const instances: InstanceView[] = [];
   for (let at = 0; at < entries.length; at += maxConcurrentQueries) {
@@ -43,7 +43,7 @@
  * @throws RouterError `storeUnavailable`
  */
 export async function listEntryInstances(
-  { list }: CommandContext,
+  { instanceList: list }: CommandContext,
   environment: string,
 ): Promise<ListedInstance[]> {
   const listed = await list.read();
@@ -54,12 +54,12 @@
 }
 
 async function queryInstance(
-  { ports }: CommandContext,
+  { operatorPortClient: ports }: CommandContext,
   entry: ListedInstance,
 ): Promise<InstanceView> {
   try {
     return { entry, answer: await ports.status(entry), reason: undefined };
   } catch (thrown) {
-    return { entry, answer: undefined, reason: describeError(thrown).message };
+    return { entry, answer: undefined, reason: toRouterError(thrown).message };
   }
 }
--- a/packages/ctl/src/runDrain/index.ts
+++ b/packages/ctl/src/runDrain/index.ts
@@ -25,7 +25,7 @@
       `the platform lists no instance ${instanceId} of ${environment}; it lists: ${ids}`,
     );
   }
-  const answer = await context.ports.drain(entry);
+  const answer = await context.operatorPortClient.drain(entry);
   return {
     isCertain: true,
     text: [
--- a/packages/ctl/src/runStatus/index.ts
+++ b/packages/ctl/src/runStatus/index.ts
@@ -1,4 +1,4 @@
-import { describeError } from '@acaciacrank/base';
+import { toRouterError } from '@acaciacrank/base';
 import { readBudget, type BudgetStatus } from '@acaciacrank/ledger';
 import { isTrialEnvironment, trialEnvironmentOf, type Manifest } from '@acaciacrank/operators';
 import { queryInstances } from '../queryInstances/index.js';
@@ -64,7 +64,7 @@
   try {
     return { value: await read(), problem: undefined };
   } catch (thrown) {
-    return { value: undefined, problem: describeError(thrown).message };
+    return { value: undefined, problem: toRouterError(thrown).message };
   }
 }
 
@@ -122,7 +122,7 @@
     ];
     return { lines, rows, isCertain: true };
   } catch (thrown) {
-    const { message } = describeError(thrown);
+    const { message } = toRouterError(thrown);
     return {
       lines: [`The state of the budgets is UNKNOWN: ${message}.`],
       rows: [],
--- a/packages/ctl/src/types.ts
+++ b/packages/ctl/src/types.ts
@@ -3,15 +3,15 @@
  */
 import type { Clock } from '@acaciacrank/base';
 import type { InstanceList, ListedInstance, ObjectStore } from '@acaciacrank/store';
-import type { OperatorPorts } from './OperatorPorts/index.js';
+import type { OperatorPortClient } from './OperatorPorts/index.js';
 
 /** The services and settings that commands use. */
 export interface CommandContext {
   readonly clock: Clock;
   /** The store of all environments; each command uses the part of its own environment. */
   readonly store: ObjectStore;
-  readonly list: InstanceList;
-  readonly ports: OperatorPorts;
+  readonly instanceList: InstanceList;
+  readonly operatorPortClient: OperatorPortClient;
   /** How long a command waits for instances to act on a change, in milliseconds. */
   readonly waitMs: number;
 }
--- a/packages/fleet/src/ConfigurationSpread/index.ts
+++ b/packages/fleet/src/ConfigurationSpread/index.ts
@@ -1,11 +1,11 @@
 import { RouterError, type Clock, type InstanceId, type Metrics } from '@acaciacrank/base';
 import type { FleetLinks } from '../FleetLinks/index.js';
-import type { FleetQuestions } from '../FleetQuestions/index.js';
+import type { FleetRpc } from '../FleetQuestions/index.js';
 import type { Membership } from '../Membership/index.js';
 import type { FleetMessage } from '../types.js';
 
 /** Access to the configuration of this instance. */
-export interface SpreadConfiguration {
+export interface GossipedConfiguration {
   /** Returns the version in force; 0 for none. */
   readonly version: () => number;
   /** Returns the manifest in force, which peers fetch; undefined for none. */
@@ -22,18 +22,18 @@
   readonly objectText: (digest: string) => string | undefined;
 }
 
-/** Options of {@link ConfigurationSpread}. */
-export interface ConfigurationSpreadOptions {
+/** Options of {@link ConfigurationGossip}. */
+export interface ConfigurationGossipOptions {
   clock: Clock;
   links: FleetLinks;
-  questions: FleetQuestions;
+  rpc: FleetRpc;
   membership: Membership;
   metrics: Metrics;
-  configuration: SpreadConfiguration;
+  configuration: GossipedConfiguration;
   /** Timeout for each request to a peer, in milliseconds; 1,000 by default. */
   timeoutMs?: number;
   /** Whether newer versions are to be fetched from peers now; always by default. */
-  isWanted?: () => boolean;
+  isFetchEnabled?: () => boolean;
 }
 
 /**
@@ -46,26 +46,26 @@
  * announcement, a healed partition or a start. Versions only rise, so announcements may be repeated
  * or reordered.
  */
-export class ConfigurationSpread implements Disposable {
-  readonly #options: ConfigurationSpreadOptions;
+export class ConfigurationGossip implements Disposable {
+  readonly #options: ConfigurationGossipOptions;
   readonly #subscriptions: Disposable[];
   /** Peers that reported a higher version than the one in force here, the latest report last. */
   readonly #newerVersions = new Map<InstanceId, number>();
   #fetchTask: Promise<void> | undefined;
   #isClosed = false;
 
-  constructor(options: ConfigurationSpreadOptions) {
+  constructor(options: ConfigurationGossipOptions) {
     this.#options = options;
-    const { links, questions, configuration } = options;
+    const { links, rpc, configuration } = options;
     this.#subscriptions = [
-      links.receive((message, from) => {
+      links.subscribe((message, from) => {
         this.#handleMessage(message, from);
       }),
-      questions.answer('manifest', ({ aboveVersion }) => {
+      rpc.answer('manifest', ({ aboveVersion }) => {
         const isNewer = configuration.version() > aboveVersion;
         return { kind: 'manifest', ...(isNewer ? { manifest: configuration.manifest() } : {}) };
       }),
-      questions.answer('configurationObject', ({ digest }) => {
+      rpc.answer('configurationObject', ({ digest }) => {
         const text = configuration.objectText(digest);
         return { kind: 'configurationObject', ...(text === undefined ? {} : { text }) };
       }),
@@ -90,7 +90,7 @@
    *   newer configuration
    */
   async readObject(digest: string): Promise<string | undefined> {
-    const { questions, timeoutMs = 1_000 } = this.#options;
+    const { rpc, timeoutMs = 1_000 } = this.#options;
     let lastError: unknown = new RouterError(
       'peerUnavailable',
       'no peer is known to have a newer configuration',
@@ -98,7 +98,7 @@
     for (const id of [...this.#newerVersions.keys()].reverse().slice(0, maxPeersAsked)) {
       try {
         const question = { kind: 'configurationObject', digest } as const;
-        const { text } = await questions.ask(id, question, { timeoutMs });
+        const { text } = await rpc.ask(id, question, { timeoutMs });
         if (text !== undefined) return text;
         lastError = undefined;
       } catch (error) {
@@ -120,7 +120,7 @@
     this.#newerVersions.delete(from);
     if (version <= this.#options.configuration.version()) return;
     this.#newerVersions.set(from, version);
-    if (this.#options.isWanted?.() === false) return;
+    if (this.#options.isFetchEnabled?.() === false) return;
     this.#fetchTask ??= this.#fetchNewer().finally(() => {
       this.#fetchTask = undefined;
     });
@@ -139,10 +139,10 @@
   }
 
   async #fetchFrom(id: InstanceId): Promise<void> {
-    const { questions, configuration, metrics, timeoutMs = 1_000 } = this.#options;
+    const { rpc, configuration, metrics, timeoutMs = 1_000 } = this.#options;
     try {
       const question = { kind: 'manifest', aboveVersion: configuration.version() } as const;
-      const { manifest } = await questions.ask(id, question, { timeoutMs });
+      const { manifest } = await rpc.ask(id, question, { timeoutMs });
       if (manifest === undefined) return;
       const isInForce = await configuration.offer(manifest);
       metrics.count(isInForce ? 'configurationsFromPeers' : 'configurationsFromPeersRefused');
--- a/packages/fleet/src/FleetLinks/index.ts
+++ b/packages/fleet/src/FleetLinks/index.ts
@@ -29,7 +29,7 @@
    * @param handler - called for each message; must not throw
    * @returns the subscription; dispose of it to unsubscribe
    */
-  receive(handler: FleetMessageHandler): Disposable {
+  subscribe(handler: FleetMessageHandler): Disposable {
     this.#handlers.add(handler);
     return {
       [Symbol.dispose]: () => {
--- a/packages/fleet/src/FleetQuestions/index.ts
+++ b/packages/fleet/src/FleetQuestions/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   RouterError,
   type Clock,
   type ErrorKind,
@@ -8,7 +8,7 @@
 import type { FleetLinks } from '../FleetLinks/index.js';
 import type { FleetMessageOf, FleetRequest, FleetReply, FleetReplyOf } from '../types.js';
 
-/** Options of {@link FleetQuestions}. */
+/** Options of {@link FleetRpc}. */
 export interface FleetRpcOptions {
   links: FleetLinks;
   clock: Clock;
@@ -16,7 +16,7 @@
   timeoutMs?: number;
 }
 
-/** Options of {@link FleetQuestions.ask}. */
+/** Options of {@link FleetRpc.ask}. */
 export interface AskOptions {
   /** Timeout for the reply, in milliseconds. */
   timeoutMs?: number;
@@ -37,7 +37,7 @@
  * A request without a reply within the timeout fails, although the peer may have executed it.
  * Requests must therefore be idempotent.
  */
-export class FleetQuestions implements Disposable {
+export class FleetRpc implements Disposable {
   readonly #options: FleetRpcOptions;
   readonly #handlers = new Map<FleetRequest['kind'], RequestHandler>();
   readonly #pendingRequests = new Map<number, PendingRequest>();
@@ -46,7 +46,7 @@
 
   constructor(options: FleetRpcOptions) {
     this.#options = options;
-    this.#subscription = options.links.receive((message, from) => {
+    this.#subscription = options.links.subscribe((message, from) => {
       if (message.kind === 'ask') void this.#handleRequest(message, from);
       if (message.kind === 'reply') this.#handleReply(message, from);
     });
@@ -160,7 +160,7 @@
     try {
       return await handler(request, from);
     } catch (thrown) {
-      return { kind: 'failed', reason: describeError(thrown).message.slice(0, 512) };
+      return { kind: 'failed', reason: toRouterError(thrown).message.slice(0, 512) };
     }
   }
 }
--- a/packages/fleet/src/Membership/index.ts
+++ b/packages/fleet/src/Membership/index.ts
@@ -11,7 +11,7 @@
 } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
 import type { FleetLinks } from '../FleetLinks/index.js';
-import type { FleetQuestions } from '../FleetQuestions/index.js';
+import type { FleetRpc } from '../FleetQuestions/index.js';
 import { MemberTable, type Member, type MergeResult } from '../MemberTable/index.js';
 import { chooseMonitoredPeers } from '../_lib/chooseMonitoredPeers/index.js';
 import { RecordRateLimiter } from '../_lib/RecordRateLimiter/index.js';
@@ -39,7 +39,7 @@
   clock: Clock;
   random: Random;
   links: FleetLinks;
-  questions: FleetQuestions;
+  rpc: FleetRpc;
   metrics: Metrics;
   log: Log;
   self: LocalMember;
@@ -154,15 +154,15 @@
    * @param addresses - where callers and peers connect to this instance
    */
   start(addresses: InstanceAddresses): void {
-    const { links, questions } = this.#options;
+    const { links, rpc } = this.#options;
     this.#table.setAddresses(addresses);
     this.#owned.add(
-      links.receive((message, from) => {
+      links.subscribe((message, from) => {
         this.#handleMessage(message, from);
       }),
     );
     this.#owned.add(
-      questions.answer('probe', async ({ target }) => ({
+      rpc.answer('probe', async ({ target }) => ({
         kind: 'probe',
         isReachable: await this.#probe(target),
       })),
@@ -174,12 +174,12 @@
   }
 
   /** Applies the platform's list of entry instances. */
-  list(entries: readonly ListedInstance[]): void {
+  applyInstanceList(entries: readonly ListedInstance[]): void {
     if (this.#table.applyInstanceList(entries)) this.#publish();
   }
 
   /** Changes the state of this instance from `starting` to `live`: it now accepts requests. */
-  serve(): void {
+  declareLive(): void {
     if (this.self.state === 'starting') this.#setOwnState('live');
   }
 
@@ -271,7 +271,7 @@
    * acknowledgements, while other members still reach the peer.
    */
   async #probeIndirectly(id: InstanceId): Promise<boolean> {
-    const { questions, ackMs, metrics } = this.#options;
+    const { rpc, ackMs, metrics } = this.#options;
     metrics.count('heartbeatsMissed');
     const relays = this.#pickRandom(
       indirectProbePeers,
@@ -279,7 +279,7 @@
     );
     const timeoutMs = 2 * ackMs;
     const answers = relays.map((relay) =>
-      questions.ask(relay.id, { kind: 'probe', target: id }, { timeoutMs }).then(
+      rpc.ask(relay.id, { kind: 'probe', target: id }, { timeoutMs }).then(
         ({ isReachable }) => isReachable,
         () => false,
       ),
--- a/packages/fleet/src/Registrations/index.ts
+++ b/packages/fleet/src/Registrations/index.ts
@@ -28,7 +28,7 @@
   /** Called with the other instances after each successful read of the list. */
   onList: (others: readonly ListedInstance[]) => void;
   /** Called after each attempt to read the list, with whether it succeeded. */
-  onTry?: (isListed: boolean) => void;
+  onListAttempt?: (isListed: boolean) => void;
 }
 
 /** Key prefix of registrations in the store. */
@@ -104,14 +104,14 @@
   /**
    * The key that authenticates this instance to a peer; undefined when the peer is not registered.
    */
-  keyOf(id: InstanceId): string | undefined {
+  linkKeyOf(id: InstanceId): string | undefined {
     return this.#seen.get(id)?.registration.linkKey;
   }
 
   /**
    * Other instances that may be running according to their heartbeats, whether or not reachable.
    */
-  mayLive(): InstanceId[] {
+  possiblyRunning(): InstanceId[] {
     return [...this.#seen]
       .filter(([, { heartbeatAtMs }]) => this.#listClockMs - heartbeatAtMs <= possiblyRunningMs)
       .map(([id]) => id);
@@ -163,15 +163,15 @@
   }
 
   async #runListing(): Promise<void> {
-    const { clock, store, onTry } = this.#options;
+    const { clock, store, onListAttempt } = this.#options;
     while (!this.#stop.signal.aborted) {
       try {
         const { objects } = await store.snapshot(registrationPrefix, { isStaleAllowed: true });
         this.#applyList(objects);
-        onTry?.(true);
+        onListAttempt?.(true);
       } catch {
         // The last known registrations stay valid; see the class comment.
-        onTry?.(false);
+        onListAttempt?.(false);
       }
       await clock.sleep(listIntervalMs, this.#stop.signal);
     }
--- a/packages/fleet/src/Registrations/test.ts
+++ b/packages/fleet/src/Registrations/test.ts
@@ -79,8 +79,8 @@
   start(clock, shared, 'b');
   await clock.advance(2_000);
   t.deepEqual(listed.at(-1), ['b']);
-  t.is(registrations.keyOf(b), 'key of b');
-  t.is(registrations.keyOf('x' as InstanceId), undefined);
+  t.is(registrations.linkKeyOf(b), 'key of b');
+  t.is(registrations.linkKeyOf('x' as InstanceId), undefined);
 });
 
 // Guards against reserving a share of a limit for an instance that is gone for good.
@@ -90,10 +90,10 @@
   const first = start(clock, shared, 'a');
   const second = start(clock, shared, 'b');
   await clock.advance(2_000);
-  t.deepEqual(first.registrations.mayLive(), [b]);
+  t.deepEqual(first.registrations.possiblyRunning(), [b]);
   second.registrations[Symbol.dispose]();
   await clock.advance(16_000);
-  t.deepEqual(first.registrations.mayLive(), []);
+  t.deepEqual(first.registrations.possiblyRunning(), []);
 });
 
 // Guards against treating others as gone during a store outage, when no instance can write
@@ -107,11 +107,11 @@
   first.cut.isStoreUnreachable = true;
   second.cut.isStoreUnreachable = true;
   await clock.advance(30_000);
-  t.deepEqual(first.registrations.mayLive(), [b]);
+  t.deepEqual(first.registrations.possiblyRunning(), [b]);
   first.cut.isStoreUnreachable = false;
   second.cut.isStoreUnreachable = false;
   await clock.advance(5_000);
-  t.deepEqual(first.registrations.mayLive(), [b]);
+  t.deepEqual(first.registrations.possiblyRunning(), [b]);
 });
 
 // Guards against registrations of replaced instances that are never removed.
--- a/packages/fleet/src/WsFleetLinks/test.ts
+++ b/packages/fleet/src/WsFleetLinks/test.ts
@@ -44,7 +44,7 @@
   const options = { instanceId, environment, keys, keyOf, clock, random, metrics, log };
   const links = owned.add(new WsFleetLinks(options));
   const versions: number[] = [];
-  links.receive((message) => {
+  links.subscribe((message) => {
     if (message.kind === 'configurationChanged') versions.push(message.version);
   });
   return { links, metrics, versions, port: await links.listen({ ip: '127.0.0.1', port: 0 }) };
--- a/packages/forwarding/src/FleetPrepaidPeers/index.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/index.ts
@@ -1,16 +1,16 @@
 import { withTimeout, type AccountId, type Clock, type InstanceId } from '@acaciacrank/base';
-import type { FleetQuestions } from '@acaciacrank/fleet';
+import type { FleetRpc } from '@acaciacrank/fleet';
 import {
   PrepaidPeers,
-  type LoanAnswer,
+  type LoanResponse,
   type LoanHandler,
-  type LoanQuestion,
+  type LoanRequest,
 } from '@acaciacrank/ledger';
 import { rankByKey } from '@acaciacrank/routing';
 
 /** Options of {@link FleetPrepaidPeers}. */
 export interface FleetPrepaidPeersOptions {
-  questions: FleetQuestions;
+  rpc: FleetRpc;
   clock: Clock;
   instanceId: InstanceId;
   /** The instances that currently share the accounts, including this one. */
@@ -59,11 +59,11 @@
     return rest.find((id) => id !== this.#options.instanceId);
   }
 
-  override async ask(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined> {
-    const { questions } = this.#options;
+  override async ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
+    const { rpc } = this.#options;
     try {
       const asked = { kind: 'prepaidTokens', loan: question } as const;
-      const { lender, lentTokens, outcome } = await questions.ask(peer, asked, {
+      const { lender, lentTokens, outcome } = await rpc.ask(peer, asked, {
         timeoutMs: replyTimeoutMs,
       });
       if (this.#unreachableUntilMs.delete(peer)) this.#options.onReachabilityChange(peer, true);
@@ -75,7 +75,7 @@
   }
 
   override serve(handler: LoanHandler): Disposable {
-    return this.#options.questions.answer('prepaidTokens', async ({ loan }) => ({
+    return this.#options.rpc.answer('prepaidTokens', async ({ loan }) => ({
       kind: 'prepaidTokens',
       ...(await this.#answer(loan, handler)),
     }));
@@ -94,7 +94,7 @@
    * Tokens lent after the timeout are reported by the next reply, since replies contain running
    * totals.
    */
-  async #answer(loan: LoanQuestion, handler: LoanHandler): Promise<LoanAnswer> {
+  async #answer(loan: LoanRequest, handler: LoanHandler): Promise<LoanResponse> {
     const bounds = { kind: 'storeUnavailable', what: 'tokens for a peer' } as const;
     const answering = handler(loan);
     try {
--- a/packages/forwarding/src/FleetPrepaidPeers/test.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
 import { ManualClock, type AccountId, type InstanceId } from '@acaciacrank/base';
-import { FleetLinks, FleetQuestions, type FleetMessage } from '@acaciacrank/fleet';
-import type { LoanAnswer, LoanQuestion } from '@acaciacrank/ledger';
+import { FleetLinks, FleetRpc, type FleetMessage } from '@acaciacrank/fleet';
+import type { LoanResponse, LoanRequest } from '@acaciacrank/ledger';
 import { FleetPrepaidPeers } from './index.js';
 
 const accountId = 'one' as AccountId;
 const ids = ['a', 'b', 'c'] as InstanceId[];
-const question: LoanQuestion = {
+const question: LoanRequest = {
   accountId,
   borrower: 'a~1',
   limitVersion: 1,
@@ -51,7 +51,7 @@
   const endpoints = ids.map((id) => {
     const links = new MemoryLinks(name, id);
     const peers = new FleetPrepaidPeers({
-      questions: new FleetQuestions({ links, clock }),
+      rpc: new FleetRpc({ links, clock }),
       clock,
       instanceId: id,
       live: () => ids,
@@ -63,7 +63,7 @@
   return { clock, endpoints, reachabilityChanges };
 }
 
-function lent(lentTokens: number): LoanAnswer {
+function lent(lentTokens: number): LoanResponse {
   return { lender: 'x~1', lentTokens, outcome: 'lent' };
 }
 
--- a/packages/forwarding/src/ForwardCodec/index.ts
+++ b/packages/forwarding/src/ForwardCodec/index.ts
@@ -1,9 +1,9 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type {
-  AnswerHead,
-  CallHead,
+  ResponseHead,
+  RequestHead,
   ForwardConfiguration,
-  UpstreamFields,
+  UpstreamRequestFields,
   UpstreamRecord,
 } from '../types.js';
 import type { StoredObject } from '@acaciacrank/store';
@@ -29,13 +29,13 @@
   abstract readUpstream(stored: StoredObject): UpstreamRecord | undefined;
 
   /** Parses the headers of a caller's request. */
-  abstract readCall(headers: IncomingHttpHeaders): CallHead;
+  abstract readRequestHead(headers: IncomingHttpHeaders): RequestHead;
 
   /** Creates the headers to send to an upstream from the caller's headers. */
-  abstract upstreamHeaders(callerHeaders: RawHeaders, fields: UpstreamFields): string[];
+  abstract upstreamHeaders(callerHeaders: RawHeaders, fields: UpstreamRequestFields): string[];
 
   /** Parses the headers of an upstream's response. */
-  abstract readAnswer(status: number, headers: RawHeaders): AnswerHead;
+  abstract readResponseHead(status: number, headers: RawHeaders): ResponseHead;
 
   /** Creates the headers to send to the caller from the upstream's headers. */
   abstract callerHeaders(upstreamHeaders: RawHeaders): string[];
--- a/packages/forwarding/src/ForwardHandler/index.ts
+++ b/packages/forwarding/src/ForwardHandler/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   RouterError,
   withTimeout,
   type Clock,
@@ -14,7 +14,7 @@
 import type { RetryShare } from '@acaciacrank/routing';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Dispatch, type DispatchDependencies } from '../_lib/Dispatch/index.js';
-import { EngineModels } from '../_lib/EngineModels/index.js';
+import { PrefillTimeModels } from '../_lib/EngineModels/index.js';
 import type { ForwardCall } from '../_lib/ForwardCall/index.js';
 import {
   callerStallTimeoutMs,
@@ -26,7 +26,7 @@
 import type { ForwardCodec } from '../ForwardCodec/index.js';
 import type { RouteTable } from '../RouteTable/index.js';
 import type {
-  CallHead,
+  RequestHead,
   ForwardAccount,
   Route,
   RouteTarget,
@@ -77,7 +77,7 @@
 
   constructor(options: ForwardHandlerOptions) {
     this.#options = options;
-    const models = new EngineModels((service, fit) => {
+    const models = new PrefillTimeModels((service, fit) => {
       options.log.info({ service, ...fit }, 'engines learnt');
     });
     this.#dispatchDependencies = {
@@ -113,7 +113,7 @@
    */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const trace = new RequestTrace(this.#options.clock);
-    const head = this.#options.codec.readCall(request.headers);
+    const head = this.#options.codec.readRequestHead(request.headers);
     const summary: RequestSummary = { head, routeName: undefined, accountId: undefined };
     this.#underWay += 1;
     if (this.#options.isLeaving()) response.shouldKeepAlive = false;
@@ -161,8 +161,8 @@
       account,
       body,
       deadlineMs: trace.receivedMs + waitMs,
-      gone: disconnectSignal(response),
-      story: trace,
+      disconnectSignal: disconnectSignal(response),
+      trace,
       progress: { mayHaveRun: false, sendCount: 0, events: 0, lastEventId: undefined },
     };
   }
@@ -195,7 +195,7 @@
     } finally {
       const usedTokenCount = usedTokens(call, tokens);
       this.#options.tokens.settle(reservation, usedTokenCount);
-      call.story.add('settled', { tokens: usedTokenCount, reservedTokens: maxTokens });
+      call.trace.add('settled', { tokens: usedTokenCount, reservedTokens: maxTokens });
     }
   }
 
@@ -221,7 +221,7 @@
       isAbandoned = true;
       throw thrown;
     }
-    call.story.add('tokens', {
+    call.trace.add('tokens', {
       outcome,
       tokens,
       stockTokens: ledger.stockTokens(account.accountId),
@@ -232,7 +232,7 @@
 
   /** Sends an error response if no headers have been sent yet; otherwise closes the connection. */
   #respondWithError(response: ServerResponse, thrown: unknown, trace: RequestTrace): string {
-    const error = describeError(thrown);
+    const error = toRouterError(thrown);
     trace.add('failed', { kind: error.kind, ran: error.ran, why: error.message });
     if (response.destroyed || error.kind === 'cancelled') {
       response.destroy();
@@ -268,7 +268,7 @@
 
 /** What the log line needs to know about a request; undefined until known. */
 interface RequestSummary {
-  readonly head: CallHead;
+  readonly head: RequestHead;
   routeName: string | undefined;
   accountId: string | undefined;
 }
--- a/packages/forwarding/src/ForwardingInstance/index.ts
+++ b/packages/forwarding/src/ForwardingInstance/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   DisposableStore,
   StateStream,
   withTimeout,
@@ -12,7 +12,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import { WsFleetLinks } from '@acaciacrank/fleet';
-import { PrepaidAccounts, type GrantEvent, type Lifetime } from '@acaciacrank/ledger';
+import { PrepaidAccounts, type GrantEvent, type ProcessRun } from '@acaciacrank/ledger';
 import { RetryShare } from '@acaciacrank/routing';
 import { ObjectFollower, type ObjectStore, type StoredObject } from '@acaciacrank/store';
 import { randomBytes } from 'node:crypto';
@@ -31,8 +31,8 @@
 import { DirectoryLog } from '../_lib/DirectoryLog/index.js';
 import { planShutdown } from '../_lib/planStop/index.js';
 import { RouteTable } from '../RouteTable/index.js';
-import { UpstreamLimitSpread } from '../UpstreamLimitSpread/index.js';
-import { UpstreamSpread } from '../UpstreamSpread/index.js';
+import { UpstreamLimitGossip } from '../UpstreamLimitSpread/index.js';
+import { PeerUpstreamSync } from '../UpstreamSpread/index.js';
 import { UpstreamTable, type UpstreamChange } from '../UpstreamTable/index.js';
 
 /** Addresses and limits of a forwarding instance. */
@@ -51,7 +51,7 @@
   /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly stopLimitMs: number;
   /** Maximum time for which callers cache a directory response, in milliseconds. */
-  readonly directoryKeepMs: number;
+  readonly directoryTtlMs: number;
 }
 
 /** Options of {@link ForwardingInstance}. */
@@ -123,7 +123,7 @@
   readonly #handler: ForwardHandler;
   readonly #server: Server;
   readonly #links: WsFleetLinks;
-  readonly #limitSpread: UpstreamLimitSpread;
+  readonly #limitSpread: UpstreamLimitGossip;
   readonly #directoryLog: DirectoryLog;
   readonly #linkKey = randomBytes(linkKeyBytes).toString('hex');
   /** The stored object of the current configuration, for peers that cannot reach the store. */
@@ -134,13 +134,13 @@
   constructor(options: ForwardingInstanceOptions) {
     this.#options = { random: Math.random, ...options };
     const { clock, store, settings, codec, log, metrics, random } = this.#options;
-    const lifetime: Lifetime = { instanceId: settings.instanceId, runId: options.runId };
+    const processRun: ProcessRun = { instanceId: settings.instanceId, runId: options.runId };
     this.#directoryLog = new DirectoryLog(log, metrics);
     this.#links = this.#createLinks();
-    this.fleet = this.#createFleet(lifetime);
+    this.fleet = this.#createFleet(processRun);
     this.#configurationFollower = this.#followConfiguration();
     this.upstreams = this.#createUpstreamTable();
-    this.#limitSpread = new UpstreamLimitSpread({
+    this.#limitSpread = new UpstreamLimitGossip({
       links: this.#links,
       clock,
       random,
@@ -151,16 +151,24 @@
       metrics.count('grants', event.what);
       log.info(event, 'grant');
     };
-    const isStoreAway = () => this.#configurationFollower.isLost;
+    const isStoreUnavailable = () => this.#configurationFollower.isLost;
     const peers = this.#createPrepaidPeers();
-    const ledgerOptions = { lifetime, store, clock, random, peers, onEvent, isStoreAway };
+    const ledgerOptions = {
+      processRun,
+      store,
+      clock,
+      random,
+      peers,
+      onEvent,
+      isStoreUnavailable,
+    };
     this.tokens = new PrepaidAccounts(ledgerOptions);
     const retries = new RetryShare({
       clock,
-      repeatsPerRequest: settings.repeats.perRequest,
-      freeRepeats: settings.repeats.free,
+      retriesPerRequest: settings.repeats.perRequest,
+      additionalRetries: settings.repeats.free,
       windowMs: settings.repeats.windowMs,
-      instanceCount: () => this.fleet.sharers,
+      instanceCount: () => this.fleet.sharingInstanceCount,
     });
     this.#handler = new ForwardHandler({
       clock,
@@ -249,7 +257,7 @@
   async stop(): Promise<void> {
     const { clock, log, settings } = this.#options;
     const startedMs = clock.monotonicMs();
-    const plan = planShutdown(settings.stopLimitMs, settings.directoryKeepMs);
+    const plan = planShutdown(settings.stopLimitMs, settings.directoryTtlMs);
     const endMs = startedMs + plan.endMs;
     const acceptUntilMs = startedMs + plan.acceptMs;
     this.#phase = 'leaving';
@@ -291,11 +299,11 @@
     try {
       await withTimeout(clock, remainingMs, work, { kind: 'deadlineExceeded', what });
     } catch (thrown) {
-      log.warn({ error: describeError(thrown).message }, 'a planned stop was cut short');
+      log.warn({ error: toRouterError(thrown).message }, 'a planned stop was cut short');
     }
   }
 
-  #createFleet({ instanceId, runId }: Lifetime): InstanceFleet {
+  #createFleet({ instanceId, runId }: ProcessRun): InstanceFleet {
     const { store, clock, random, settings, log, metrics } = this.#options;
     const { callers, fleet, failureDomain } = settings;
     const self = {
@@ -311,13 +319,13 @@
       manifest: () => this.#storedConfiguration,
       offer: (stored: unknown) => this.#applyPeerConfiguration(stored),
     };
-    const isStoreAway = () => this.#configurationFollower.isLost;
+    const isStoreUnavailable = () => this.#configurationFollower.isLost;
     const links = this.#links;
     const shared = { store, links, clock, random, log, metrics };
     const onPeerLive = (peer: InstanceId) => {
       this.#limitSpread.sendAllTo(peer);
     };
-    return new InstanceFleet({ ...shared, self, configuration, isStoreAway, onPeerLive });
+    return new InstanceFleet({ ...shared, self, configuration, isStoreUnavailable, onPeerLive });
   }
 
   #createUpstreamTable(): UpstreamTable {
@@ -325,8 +333,8 @@
     const { instanceId } = settings;
     return new UpstreamTable({
       clock,
-      limitSharing: { instanceId, sharers: () => this.fleet.rateSharers },
-      instanceCount: () => this.fleet.sharers,
+      limitSharing: { instanceId, sharers: () => this.fleet.rateSharingInstances },
+      instanceCount: () => this.fleet.sharingInstanceCount,
       maxConnections: (service) => this.routes.value?.service(service)?.maxConnections ?? Infinity,
       onChange: (change) => {
         metrics.count('upstreamChanges', change.what);
@@ -343,7 +351,7 @@
   }
 
   get #livePeers(): readonly InstanceId[] {
-    return this.fleet.answering.filter((id) => id !== this.#options.settings.instanceId);
+    return this.fleet.liveInstances.filter((id) => id !== this.#options.settings.instanceId);
   }
 
   #createLinks(): WsFleetLinks {
@@ -352,7 +360,7 @@
       instanceId: settings.instanceId,
       environment: linkEnvironment,
       keys: [this.#linkKey],
-      keyOf: (peer: InstanceId) => this.fleet.keyOf(peer),
+      keyOf: (peer: InstanceId) => this.fleet.linkKeyOf(peer),
     };
     return new WsFleetLinks({ ...identity, ...linkTimings, clock, random, metrics, log });
   }
@@ -360,10 +368,10 @@
   #createPrepaidPeers(): FleetPrepaidPeers {
     const { settings, clock, log, metrics } = this.#options;
     return new FleetPrepaidPeers({
-      questions: this.fleet.questions,
+      rpc: this.fleet.rpc,
       clock,
       instanceId: settings.instanceId,
-      live: () => this.fleet.answering,
+      live: () => this.fleet.liveInstances,
       onReachabilityChange: (peer, isReached) => {
         metrics.count('peerReach', isReached ? 'regained' : 'lost');
         log.info({ peer, isReached }, isReached ? 'peer answers again' : 'peer does not answer');
@@ -382,7 +390,7 @@
       random,
       prefix: codec.configurationKey.slice(0, codec.configurationKey.indexOf('/') + 1),
       // Reading several large versions at once would delay the newest one on a slow network.
-      isNewestEnough: true,
+      isLatestStateSufficient: true,
       onSnapshot: ({ objects }) => {
         objects.forEach(applyIfConfiguration);
       },
@@ -427,7 +435,7 @@
       return true;
     } catch (thrown) {
       metrics.count('configurations', 'refused');
-      log.error({ error: describeError(thrown).message }, 'configuration refused');
+      log.error({ error: toRouterError(thrown).message }, 'configuration refused');
       return false;
     }
   }
@@ -448,7 +456,7 @@
       clock,
       random,
       prefix: codec.upstreamPrefix,
-      gatherMs: upstreamBatchMs,
+      batchDelayMs: upstreamBatchMs,
       onSnapshot: ({ objects }) => {
         this.upstreams.replaceAll(objects.map(read).filter((record) => record !== undefined));
       },
@@ -458,24 +466,24 @@
         else this.upstreams.put(record);
       },
       onLost: (error) => {
-        this.upstreams.loseStore();
+        this.upstreams.markStoreUnavailable();
         log.warn({ error: error.message }, 'store lost for upstreams');
       },
       onRegained: (awayMs) => {
-        this.upstreams.regainStore();
+        this.upstreams.markStoreAvailable();
         log.info({ awayMs: Math.round(awayMs) }, 'store regained for upstreams');
       },
     });
   }
 
-  #createUpstreamSpread(follower: ObjectFollower): UpstreamSpread {
+  #createUpstreamSpread(follower: ObjectFollower): PeerUpstreamSync {
     const { clock, random } = this.#options;
-    return new UpstreamSpread({
-      questions: this.fleet.questions,
+    return new PeerUpstreamSync({
+      rpc: this.fleet.rpc,
       clock,
       random,
       table: this.upstreams,
-      isStoreAway: () => follower.isLost,
+      isStoreUnavailable: () => follower.isLost,
       peers: () => this.#livePeers,
     });
   }
@@ -489,7 +497,7 @@
     runnable.run().catch((thrown: unknown) => {
       const { metrics, log } = this.#options;
       metrics.count('failedTasks', task);
-      log.error({ task, error: describeError(thrown).fullStack }, 'task failed');
+      log.error({ task, error: toRouterError(thrown).fullStack }, 'task failed');
     });
   }
 }
--- a/packages/forwarding/src/InstanceFleet/index.ts
+++ b/packages/forwarding/src/InstanceFleet/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   DisposableStore,
   type Clock,
   type FailureDomainId,
@@ -9,14 +9,14 @@
   type Random,
 } from '@acaciacrank/base';
 import {
-  ConfigurationSpread,
-  FleetQuestions,
+  ConfigurationGossip,
+  FleetRpc,
   Membership,
   Registrations,
   type FleetLinks,
   type Member,
   type RegistrationsOptions,
-  type SpreadConfiguration,
+  type GossipedConfiguration,
 } from '@acaciacrank/fleet';
 import type { ObjectStore } from '@acaciacrank/store';
 import { LivePeerWatcher } from '../_lib/LivePeerWatcher/index.js';
@@ -32,9 +32,9 @@
   log: Log;
   metrics: Metrics;
   /** The current configuration of this instance, which peers may request. */
-  configuration: Omit<SpreadConfiguration, 'objectText'>;
+  configuration: Omit<GossipedConfiguration, 'objectText'>;
   /** Whether this instance gets no new configurations from the store and needs them from peers. */
-  isStoreAway: () => boolean;
+  isStoreUnavailable: () => boolean;
   /** Called when a peer becomes live, initially, again or after a restart. */
   onPeerLive?: (peer: InstanceId) => void;
 }
@@ -71,7 +71,7 @@
  * either source.
  */
 export class InstanceFleet implements AsyncDisposable {
-  readonly questions: FleetQuestions;
+  readonly rpc: FleetRpc;
   readonly #options: InstanceFleetOptions;
   readonly #registrations: Registrations;
   readonly #membership: Membership;
@@ -80,13 +80,13 @@
   constructor(options: InstanceFleetOptions) {
     this.#options = options;
     const { self, store, links, clock, random, log, metrics, configuration } = options;
-    this.questions = this.#disposables.add(new FleetQuestions({ links, clock }));
+    this.rpc = this.#disposables.add(new FleetRpc({ links, clock }));
     this.#membership = this.#disposables.add(
       new Membership({
         clock,
         random,
         links,
-        questions: this.questions,
+        rpc: this.rpc,
         metrics,
         log,
         self: { id: self.instanceId, life: self.runId, failureDomain: self.failureDomain },
@@ -95,14 +95,14 @@
       }),
     );
     this.#disposables.add(
-      new ConfigurationSpread({
+      new ConfigurationGossip({
         clock,
         links,
-        questions: this.questions,
+        rpc: this.rpc,
         membership: this.#membership,
         metrics,
         configuration: { ...configuration, objectText: () => undefined },
-        isWanted: options.isStoreAway,
+        isFetchEnabled: options.isStoreUnavailable,
       }),
     );
     this.#registrations = this.#disposables.add(
@@ -111,9 +111,9 @@
         clock,
         self,
         onList: (others) => {
-          this.#membership.list(others);
+          this.#membership.applyInstanceList(others);
         },
-        onTry: (isListed) => {
+        onListAttempt: (isListed) => {
           metrics.count('instanceLists', isListed ? 'listed' : 'failed');
         },
       }),
@@ -136,7 +136,7 @@
   }
 
   /** The live instances, including this one unless it is leaving. */
-  get answering(): readonly InstanceId[] {
+  get liveInstances(): readonly InstanceId[] {
     const others = this.#idsOf('live');
     const { id, state } = this.#membership.self;
     return state === 'leaving' || state === 'left' ? others : [id, ...others];
@@ -150,7 +150,7 @@
    * the store, mean that it may be live. Infinite before the first list, since the number of
    * instances is not known.
    */
-  get sharers(): number {
+  get sharingInstanceCount(): number {
     if (this.listAgeMs === undefined) return Infinity;
     return 1 + this.#othersExcept('left').length;
   }
@@ -158,11 +158,11 @@
   /**
    * The instances that share the rate limits of upstreams, including this one if it takes part.
    *
-   * Guards against two sides of a partition that each use the whole limit, as {@link sharers} does.
+   * Guards against two sides of a partition that each use the whole limit, as {@link sharingInstanceCount} does.
    * An instance does not take part while it is leaving, before it has read the list of instances,
    * and while it is cut off from the store and from most others, since they may consider it failed.
    */
-  get rateSharers(): readonly InstanceId[] {
+  get rateSharingInstances(): readonly InstanceId[] {
     const others = this.#othersExcept('left', 'leaving');
     const { id, state } = this.#membership.self;
     const isLeaving = state === 'leaving' || state === 'left';
@@ -187,8 +187,8 @@
    * Returns the registered key with which this instance authenticates to a peer; undefined if the
    * peer is not registered.
    */
-  keyOf(id: InstanceId): string | undefined {
-    return this.#registrations.keyOf(id);
+  linkKeyOf(id: InstanceId): string | undefined {
+    return this.#registrations.linkKeyOf(id);
   }
 
   /** Registers this instance and follows the others until disposed of. */
@@ -200,14 +200,14 @@
 
   /** Announces to the others that this instance accepts callers. */
   serve(): void {
-    this.#membership.serve();
+    this.#membership.declareLive();
   }
 
   /** Announces to the others that this instance is leaving and will soon accept no new callers. */
   leave(): void {
     this.#membership.leave();
     this.#registrations.leave().catch((thrown: unknown) => {
-      const error = describeError(thrown).message;
+      const error = toRouterError(thrown).message;
       this.#options.log.warn({ error }, 'leaving could not be written');
     });
   }
@@ -229,7 +229,7 @@
   #othersExcept(...states: Member['state'][]): InstanceId[] {
     const excluded = new Set(this.#idsOf(...states));
     const reached = this.#idsOf('starting', 'live', 'suspect', 'leaving');
-    const others = new Set([...reached, ...this.#registrations.mayLive()]);
+    const others = new Set([...reached, ...this.#registrations.possiblyRunning()]);
     return [...others].filter((id) => !excluded.has(id));
   }
 
--- a/packages/forwarding/src/UpstreamLimitSpread/index.ts
+++ b/packages/forwarding/src/UpstreamLimitSpread/index.ts
@@ -3,8 +3,8 @@
 import type { Upstream } from '../_lib/Upstream/index.js';
 import type { UpstreamTable } from '../UpstreamTable/index.js';
 
-/** Options of {@link UpstreamLimitSpread}. */
-export interface UpstreamLimitSpreadOptions {
+/** Options of {@link UpstreamLimitGossip}. */
+export interface UpstreamLimitGossipOptions {
   links: FleetLinks;
   clock: Clock;
   random: Random;
@@ -32,16 +32,16 @@
  * receives no responses from the upstream itself. Limits known only from a peer are not passed on, and
  * each limit is sent with its age, so that it does not replace a newer one.
  */
-export class UpstreamLimitSpread implements Disposable {
-  readonly #options: UpstreamLimitSpreadOptions;
+export class UpstreamLimitGossip implements Disposable {
+  readonly #options: UpstreamLimitGossipOptions;
   readonly #subscription: Disposable;
   readonly #stop = new AbortController();
   readonly #changed = new Set<Upstream>();
   #pendingBatch: Disposable | undefined;
 
-  constructor(options: UpstreamLimitSpreadOptions) {
+  constructor(options: UpstreamLimitGossipOptions) {
     this.#options = options;
-    this.#subscription = options.links.receive((message, from) => {
+    this.#subscription = options.links.subscribe((message, from) => {
       if (message.kind === 'upstreamLimits') this.#receive(message.limits, from);
     });
   }
@@ -113,7 +113,7 @@
         sentMs: nowMs - ages.sentAgeMs,
         receivedMs: nowMs - ages.receivedAgeMs,
       });
-      if (change !== undefined) table.tellLimitChange(upstream, change, from);
+      if (change !== undefined) table.reportLimitChange(upstream, change, from);
     }
   }
 }
--- a/packages/forwarding/src/UpstreamSpread/index.ts
+++ b/packages/forwarding/src/UpstreamSpread/index.ts
@@ -1,15 +1,15 @@
 import type { Clock, InstanceId, Random } from '@acaciacrank/base';
-import type { FleetQuestions } from '@acaciacrank/fleet';
+import type { FleetRpc } from '@acaciacrank/fleet';
 import type { UpstreamTable } from '../UpstreamTable/index.js';
 
-/** Options of {@link UpstreamSpread}. */
-export interface UpstreamSpreadOptions {
-  questions: FleetQuestions;
+/** Options of {@link PeerUpstreamSync}. */
+export interface PeerUpstreamSyncOptions {
+  rpc: FleetRpc;
   clock: Clock;
   random: Random;
   table: UpstreamTable;
   /** Whether this instance currently gets no updates about upstreams from the store. */
-  isStoreAway: () => boolean;
+  isStoreUnavailable: () => boolean;
   /** The peers that may be asked. */
   peers: () => readonly InstanceId[];
 }
@@ -24,16 +24,16 @@
  * leaving: connections are refused and responses never arrive, at this one instance only. A peer
  * that cannot reach the store either says so and sends no records.
  */
-export class UpstreamSpread implements Disposable {
-  readonly #options: UpstreamSpreadOptions;
+export class PeerUpstreamSync implements Disposable {
+  readonly #options: PeerUpstreamSyncOptions;
   readonly #subscription: Disposable;
   readonly #stop = new AbortController();
 
-  constructor(options: UpstreamSpreadOptions) {
+  constructor(options: PeerUpstreamSyncOptions) {
     this.#options = options;
-    const { questions, table, isStoreAway } = options;
-    this.#subscription = questions.answer('upstreams', () => {
-      const isCurrent = !isStoreAway();
+    const { rpc, table, isStoreUnavailable } = options;
+    this.#subscription = rpc.answer('upstreams', () => {
+      const isCurrent = !isStoreUnavailable();
       const records = isCurrent ? table.all().map(({ record }) => record) : [];
       return { kind: 'upstreams', isCurrent, records };
     });
@@ -41,10 +41,10 @@
 
   /** Asks a random peer at each interval while the store is unavailable, until disposed of. */
   async run(): Promise<void> {
-    const { clock, isStoreAway } = this.#options;
+    const { clock, isStoreUnavailable } = this.#options;
     while (!this.#stop.signal.aborted) {
       await clock.sleep(askIntervalMs, this.#stop.signal);
-      if (isStoreAway() && !this.#stop.signal.aborted) await this.#askPeer();
+      if (isStoreUnavailable() && !this.#stop.signal.aborted) await this.#askPeer();
     }
   }
 
@@ -54,13 +54,13 @@
   }
 
   async #askPeer(): Promise<void> {
-    const { questions, random, table, isStoreAway, peers } = this.#options;
+    const { rpc, random, table, isStoreUnavailable, peers } = this.#options;
     const candidates = peers();
     const peer = candidates[Math.floor(random() * candidates.length)];
     if (peer === undefined) return;
     try {
-      const { isCurrent, records } = await questions.ask(peer, { kind: 'upstreams' });
-      if (isCurrent && isStoreAway()) table.mergeFromPeer(records);
+      const { isCurrent, records } = await rpc.ask(peer, { kind: 'upstreams' });
+      if (isCurrent && isStoreUnavailable()) table.mergeFromPeer(records);
     } catch {
       // A random peer is asked again at the next interval.
     }
--- a/packages/forwarding/src/UpstreamTable/index.ts
+++ b/packages/forwarding/src/UpstreamTable/index.ts
@@ -77,12 +77,12 @@
   }
 
   /** Records that the store stopped responding. */
-  loseStore(): void {
+  markStoreUnavailable(): void {
     this.#isStoreUnavailable = true;
   }
 
   /** Records that the store responds again, and starts the grace period of expired records. */
-  regainStore(): void {
+  markStoreAvailable(): void {
     this.#isStoreUnavailable = false;
     this.#storeRegainedMs = this.#options.clock.monotonicMs();
     for (const id of [...this.#expired.keys()]) this.#startGracePeriod(id);
@@ -152,7 +152,7 @@
   }
 
   /** Reports a change of an upstream's rate limit. */
-  tellLimitChange({ record, limit }: Upstream, what: LimitChange, toldBy?: InstanceId): void {
+  reportLimitChange({ record, limit }: Upstream, what: LimitChange, toldBy?: InstanceId): void {
     const { requestsPerSecond } = limit;
     const limitPerS = requestsPerSecond === Infinity ? undefined : requestsPerSecond;
     this.#report(record, what, { limitPerS, toldBy });
--- a/packages/forwarding/src/UpstreamTable/test.ts
+++ b/packages/forwarding/src/UpstreamTable/test.ts
@@ -70,11 +70,11 @@
 test('a record that expires during a store outage stays usable until the end of the grace period', async (t) => {
   const { clock, table } = createTable();
   table.put(record);
-  table.loseStore();
+  table.markStoreUnavailable();
   table.remove(id);
   await clock.advance(10_000);
   t.is(table.usable(service).length, 1);
-  table.regainStore();
+  table.markStoreAvailable();
   await clock.advance(1_900);
   t.is(table.usable(service).length, 1);
   await clock.advance(200);
@@ -88,7 +88,7 @@
   const other = { ...record, id: 'u2' as UpstreamId, port: 81 };
   table.put(record);
   table.put(other);
-  table.loseStore();
+  table.markStoreUnavailable();
   table.mergeFromPeer([
     { ...record, state: 'leaving' },
     { ...other, id: 'u3' as UpstreamId },
--- a/packages/forwarding/src/_lib/Attempt/index.ts
+++ b/packages/forwarding/src/_lib/Attempt/index.ts
@@ -1,13 +1,13 @@
 /**
  * One request at one upstream, from acquiring a connection to the end of the response.
  */
-import { describeError, RouterError, type Clock } from '@acaciacrank/base';
+import { toRouterError, RouterError, type Clock } from '@acaciacrank/base';
 import type { ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
 import type { ForwardCodec, RawHeaders } from '../../ForwardCodec/index.js';
 import { EventBuffer, type StreamEvent } from '../EventBuffer/index.js';
 import type { ForwardCall } from '../ForwardCall/index.js';
-import type { AnswerHead } from '../../types.js';
+import type { ResponseHead } from '../../types.js';
 import { maxBufferedBytes, responseMarginMs } from '../limits/index.js';
 import { sendRequest, wasNeverSent, type UpstreamResponse } from '../sendRequest/index.js';
 import type { PrefillEstimate, InFlightRequest, Upstream } from '../Upstream/index.js';
@@ -76,13 +76,13 @@
   async run(): Promise<AttemptResult> {
     const { call, upstream, clock } = this.#options;
     const remainingMs = call.deadlineMs - clock.monotonicMs();
-    if (call.gone.aborted) return { kind: 'callerGone', wasSent: false };
+    if (call.disconnectSignal.aborted) return { kind: 'callerGone', wasSent: false };
     if (remainingMs <= responseMarginMs) return { kind: 'deadline', wasSent: false };
     const connection = upstream.acquireConnection();
     const inFlightRequest = upstream.begin(this.#options.prefill);
     const deadline = clock.schedule(remainingMs, this.#createAborter('deadline'));
     const onCallerGone = this.#createAborter('callerGone');
-    call.gone.addEventListener('abort', onCallerGone, { once: true });
+    call.disconnectSignal.addEventListener('abort', onCallerGone, { once: true });
     this.#restartInactivityTimer();
     let isReusable = false;
     try {
@@ -103,7 +103,7 @@
     } finally {
       deadline[Symbol.dispose]();
       this.#inactivityTimer?.[Symbol.dispose]();
-      call.gone.removeEventListener('abort', onCallerGone);
+      call.disconnectSignal.removeEventListener('abort', onCallerGone);
       upstream.end(inFlightRequest);
       upstream.releaseConnection(connection, isReusable);
     }
@@ -172,7 +172,7 @@
    * one only if it is signed.
    */
   #updateLimit(
-    { limitPerS, requestId, isSigned, isWrongUpstream }: AnswerHead,
+    { limitPerS, requestId, isSigned, isWrongUpstream }: ResponseHead,
     inFlightRequest: InFlightRequest,
   ): void {
     const { call, upstream, clock, onLimitChange } = this.#options;
@@ -236,7 +236,7 @@
 
   #writeResponseHead(upstreamResponse: UpstreamResponse): void {
     const { call, codec } = this.#options;
-    call.story.add('firstEvent', { upstreamId: this.#options.upstream.id });
+    call.trace.add('firstEvent', { upstreamId: this.#options.upstream.id });
     if (!upstreamResponse.isFramed) delimitByConnectionClose(call.response);
     call.response.writeHead(upstreamResponse.status, codec.callerHeaders(upstreamResponse.headers));
   }
@@ -257,8 +257,8 @@
     const abortReason = this.#abortReason;
     if (abortReason === 'silent') return { kind: abortReason };
     if (abortReason !== undefined) return { kind: abortReason, wasSent: !wasNeverSent(thrown) };
-    if (wasNeverSent(thrown)) return { kind: 'notSent', reason: describeError(thrown).message };
-    return { kind: 'broken', reason: describeError(thrown).message };
+    if (wasNeverSent(thrown)) return { kind: 'notSent', reason: toRouterError(thrown).message };
+    return { kind: 'broken', reason: toRouterError(thrown).message };
   }
 }
 
--- a/packages/forwarding/src/_lib/Dispatch/index.ts
+++ b/packages/forwarding/src/_lib/Dispatch/index.ts
@@ -9,12 +9,12 @@
   type Random,
   type UpstreamId,
 } from '@acaciacrank/base';
-import type { EngineModel, RetryShare } from '@acaciacrank/routing';
+import type { PrefillTimeModel, RetryShare } from '@acaciacrank/routing';
 import type { ForwardCodec } from '../../ForwardCodec/index.js';
 import type { UpstreamTable } from '../../UpstreamTable/index.js';
 import { Attempt, delimitByConnectionClose, type AttemptResult } from '../Attempt/index.js';
 import { isRepeatable, type ForwardCall } from '../ForwardCall/index.js';
-import type { EngineModels } from '../EngineModels/index.js';
+import type { PrefillTimeModels } from '../EngineModels/index.js';
 import { maxConnectAttempts, upstreamInactivityMs } from '../limits/index.js';
 import type { PromptPartLocations } from '../PartPlaces/index.js';
 import { pickUpstream, type UpstreamPick } from '../pickUpstream/index.js';
@@ -29,7 +29,7 @@
   readonly retries: RetryShare;
   readonly ownDomain: FailureDomainId;
   readonly promptPartLocations: PromptPartLocations;
-  readonly models: EngineModels;
+  readonly models: PrefillTimeModels;
   readonly random: Random;
   readonly metrics: Metrics;
 }
@@ -100,7 +100,7 @@
     const call = this.#call;
     if (this.#attemptedIds.size === 0) retries.recordRequest(call.service.name);
     this.#attemptedIds.add(upstream.id);
-    call.story.add('sent', {
+    call.trace.add('sent', {
       upstreamId: upstream.id,
       why,
       fetchFrom,
@@ -123,7 +123,7 @@
       this.#observePrefill(inFlightRequest);
     };
     const onLimitChange = (change: LimitChange) => {
-      this.#dependencies.upstreams.tellLimitChange(upstream, change);
+      this.#dependencies.upstreams.reportLimitChange(upstream, change);
     };
     const attempt = new Attempt({
       clock,
@@ -149,10 +149,10 @@
     if (prefill === undefined || queuedAheadMs > 0 || !prefill.isSharedCached) return;
     const { promptTokens, newTokens } = prefill;
     const elapsedMs = this.#dependencies.clock.monotonicMs() - sentMs;
-    this.#model.observeRead({ newTokens, cachedTokens: promptTokens - newTokens, elapsedMs });
+    this.#model.observePrefill({ newTokens, cachedTokens: promptTokens - newTokens, elapsedMs });
   }
 
-  get #model(): EngineModel {
+  get #model(): PrefillTimeModel {
     return this.#dependencies.models.get(this.#call.service.name);
   }
 
@@ -171,7 +171,7 @@
   /** Handles the result of an attempt; returns whether the caller's request is complete. */
   async #handleResult(upstream: Upstream, result: AttemptResult): Promise<boolean> {
     const call = this.#call;
-    call.story.add(result.kind, describeResult(result));
+    call.trace.add(result.kind, describeResult(result));
     this.#recordResult(upstream, result);
     switch (result.kind) {
       case 'streamed':
@@ -228,8 +228,8 @@
     if (progress.sendCount >= route.maxUpstreams) return false;
     const others = this.#dependencies.upstreams.usable(service.name);
     if (!others.some(({ id, hasRoom }) => hasRoom && !this.#attemptedIds.has(id))) return false;
-    const isAllowed = this.#dependencies.retries.tryRepeat(service.name);
-    this.#call.story.add(isAllowed ? 'repeat' : 'noRepeatLeft');
+    const isAllowed = this.#dependencies.retries.tryRetry(service.name);
+    this.#call.trace.add(isAllowed ? 'repeat' : 'noRepeatLeft');
     return isAllowed;
   }
 
@@ -249,7 +249,7 @@
     const limited = upstreams.usable(this.#call.service.name).filter(({ hasRoom }) => !hasRoom);
     if (limited.length === 0) return {};
     metrics.count('refusedAtLimit');
-    this.#call.story.add('atLimit', { upstreams: limited.length });
+    this.#call.trace.add('atLimit', { upstreams: limited.length });
     const waitMs = Math.min(...limited.map(({ limit }) => limit.waitMs));
     return { retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs)) };
   }
--- a/packages/forwarding/src/_lib/ForwardCall/index.ts
+++ b/packages/forwarding/src/_lib/ForwardCall/index.ts
@@ -3,7 +3,7 @@
  */
 import type { CallerWriter } from '@acaciacrank/callers';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { CallHead, ForwardAccount, Route, ServiceTraits } from '../../types.js';
+import type { RequestHead, ForwardAccount, Route, ServiceTraits } from '../../types.js';
 import type { RequestTrace } from '../RequestTrace/index.js';
 
 /** A request with its route, account and progress. */
@@ -11,7 +11,7 @@
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly writer: CallerWriter;
-  readonly head: CallHead;
+  readonly head: RequestHead;
   readonly route: Route;
   readonly service: ServiceTraits;
   readonly account: ForwardAccount | undefined;
@@ -22,8 +22,8 @@
    */
   readonly deadlineMs: number;
   /** Aborted when the caller disconnects. */
-  readonly gone: AbortSignal;
-  readonly story: RequestTrace;
+  readonly disconnectSignal: AbortSignal;
+  readonly trace: RequestTrace;
   readonly progress: CallProgress;
 }
 
--- a/packages/forwarding/src/_lib/Upstream/index.ts
+++ b/packages/forwarding/src/_lib/Upstream/index.ts
@@ -2,7 +2,7 @@
  * One upstream: its connections, the requests in progress there, and its health.
  */
 import type { Clock, UpstreamId } from '@acaciacrank/base';
-import { ForeignQueue, type EngineWork } from '@acaciacrank/routing';
+import { PeerBacklogEstimator, type EngineLoad } from '@acaciacrank/routing';
 import type { ReportedLoad, UpstreamRecord } from '../../types.js';
 import { UpstreamConnection } from '../UpstreamConnection/index.js';
 import { UpstreamLimit, unshared, type LimitSharing } from '../UpstreamLimit/index.js';
@@ -58,7 +58,7 @@
 }
 
 /** An upstream with its connections and state. */
-export class Upstream implements AsyncDisposable, EngineWork {
+export class Upstream implements AsyncDisposable, EngineLoad {
   record: UpstreamRecord;
   /** Whether the upstream is draining according to the store, so that it gets no new requests. */
   isLeaving: boolean;
@@ -71,7 +71,7 @@
   readonly #connectionShare: () => number;
   readonly #idle: UpstreamConnection[] = [];
   readonly #open = new Set<UpstreamConnection>();
-  readonly #foreignQueue = new ForeignQueue();
+  readonly #peerBacklog = new PeerBacklogEstimator();
   #consecutiveFailures = 0;
   #ejectionMs = 0;
   #ejectedUntilMs = 0;
@@ -107,7 +107,7 @@
     const delaysMs = this.#prefilling().map((inFlightRequest) =>
       prefillDelayMs(inFlightRequest, nowMs),
     );
-    return this.#ownBacklogMs() + this.#foreignQueue.estimateMs(nowMs, Math.max(0, ...delaysMs));
+    return this.#ownBacklogMs() + this.#peerBacklog.estimateMs(nowMs, Math.max(0, ...delaysMs));
   }
 
   /** Number of this instance's requests in progress here. */
@@ -181,7 +181,7 @@
   recordReceived(inFlightRequest: InFlightRequest, hasFirstEvent: boolean): void {
     const nowMs = this.#clock.monotonicMs();
     if (hasFirstEvent && isPrefilling(inFlightRequest))
-      this.#foreignQueue.observe(prefillDelayMs(inFlightRequest, nowMs), nowMs);
+      this.#peerBacklog.observe(prefillDelayMs(inFlightRequest, nowMs), nowMs);
     if (inFlightRequest.hasFirstEvent)
       inFlightRequest.longestGapMs = Math.max(
         inFlightRequest.longestGapMs,
--- a/packages/forwarding/src/_lib/pickUpstream/index.ts
+++ b/packages/forwarding/src/_lib/pickUpstream/index.ts
@@ -2,7 +2,7 @@
  * Selects the upstream for a request.
  */
 import type { FailureDomainId, Random, UpstreamId } from '@acaciacrank/base';
-import { placePrompt, type EngineModel } from '@acaciacrank/routing';
+import { placePrompt, type PrefillTimeModel } from '@acaciacrank/routing';
 import type { EngineTraits, PromptPart } from '../../types.js';
 import type { PromptPartLocations } from '../PartPlaces/index.js';
 import type { PrefillEstimate, Upstream } from '../Upstream/index.js';
@@ -17,7 +17,7 @@
   /** Properties of the service's engines from the configuration. */
   readonly engine: EngineTraits | undefined;
   /** Prefill times learned from observed requests. */
-  readonly model: EngineModel;
+  readonly model: PrefillTimeModel;
   readonly ownDomain: FailureDomainId;
   /** Engines that parts of prompts were sent to. */
   readonly promptPartLocations: PromptPartLocations;
@@ -95,16 +95,16 @@
   const ownTokens = Math.min(request.promptParts.at(-1)?.tokens ?? 0, promptTokens);
   const sharedTokens = promptTokens - ownTokens;
   const ownMs = model.readMs(ownTokens, sharedTokens);
-  const sharedMs = Math.max(0, model.readMs(promptTokens, 0) - ownMs);
+  const sharedPartsMs = Math.max(0, model.readMs(promptTokens, 0) - ownMs);
   const holders = promptPartLocations.enginesWith(shared.id, nowMs);
-  const placement = placePrompt({ key: shared.id, sharedMs, holders }, usable);
+  const placement = placePrompt({ key: shared.id, sharedPartsMs, holders }, usable);
   if (placement === undefined) return undefined;
   const { engine: upstream, holder } = placement;
   promptPartLocations.recordSent(shared.id, upstream.id, nowMs);
   const sharedCopyMs = copyMs(sharedTokens, request.engine);
-  const isCopied = holder !== undefined && sharedCopyMs < maxCopyTimeShare * sharedMs;
+  const isCopied = holder !== undefined && sharedCopyMs < maxCopyTimeShare * sharedPartsMs;
   const isSharedCached = holders.has(upstream.id);
-  const sharedPartMs = isCopied ? sharedCopyMs : sharedMs;
+  const sharedPartMs = isCopied ? sharedCopyMs : sharedPartsMs;
   return {
     upstream,
     fetchFrom: isCopied ? holder.address : undefined,
--- a/packages/forwarding/src/_lib/sendRequest/index.ts
+++ b/packages/forwarding/src/_lib/sendRequest/index.ts
@@ -5,7 +5,7 @@
 import type { Client } from 'undici';
 import type { Readable } from 'node:stream';
 import type { ForwardCodec, RawHeaders } from '../../ForwardCodec/index.js';
-import type { AnswerHead } from '../../types.js';
+import type { ResponseHead } from '../../types.js';
 
 /** A request in the form in which it is sent to an upstream. */
 export interface UpstreamRequest {
@@ -20,7 +20,7 @@
 export interface UpstreamResponse {
   readonly status: number;
   readonly headers: RawHeaders;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly body: Readable;
   /**
    * Whether the headers frame the body (`content-length` or `transfer-encoding`); otherwise the
@@ -63,7 +63,7 @@
   return {
     status: response.statusCode,
     headers,
-    head: codec.readAnswer(response.statusCode, headers),
+    head: codec.readResponseHead(response.statusCode, headers),
     body: response.body,
     isFramed: isFramed(headers),
   };
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -125,7 +125,7 @@
 }
 
 /** The parsed headers of a caller's request. */
-export interface CallHead {
+export interface RequestHead {
   readonly requestId: RequestId | undefined;
   /** How long the caller waits for the response, in milliseconds. */
   readonly budgetMs: number | undefined;
@@ -145,7 +145,7 @@
 }
 
 /** The parsed headers of an upstream's response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly requestId: string | undefined;
   /** Whether the response carries the upstream's signature. */
   readonly isSigned: boolean;
@@ -162,7 +162,7 @@
 }
 
 /** What an instance sends to an upstream in addition to the caller's headers. */
-export interface UpstreamFields {
+export interface UpstreamRequestFields {
   readonly upstreamId: UpstreamId;
   readonly accountId: AccountId | undefined;
   /** Remaining time budget of the request, in milliseconds. */
--- a/packages/ledger/src/BudgetLedger/index.ts
+++ b/packages/ledger/src/BudgetLedger/index.ts
@@ -58,9 +58,9 @@
   /** How long to wait for the store before peers are asked, in milliseconds. */
   askPeersAfterMs?: number;
   /** The maximum number of requests per page that are reserved or wait to be billed. */
-  maxOpenPerPage?: number;
+  maxOpenRequestsPerPage?: number;
   /** The maximum number of requests on all pages that are reserved or wait to be billed. */
-  maxOpen?: number;
+  maxOpenRequests?: number;
   /** A page that stores this many request keys accepts no new requests. */
   maxKeysPerPage?: number;
 }
@@ -163,8 +163,8 @@
       groupCommitMs: 50,
       reserveTimeoutMs: 10_000,
       askPeersAfterMs: 300,
-      maxOpenPerPage: 300,
-      maxOpen: 10_000,
+      maxOpenRequestsPerPage: 300,
+      maxOpenRequests: 10_000,
       maxKeysPerPage: 2_500,
       ...options,
     };
@@ -375,7 +375,7 @@
   async #askPeers(budget: BudgetRef, missingTokens: number): Promise<boolean> {
     const { clock, peers } = this.#options;
     const askedMs = clock.monotonicMs();
-    const transfers = await peers.askTokens(budget, missingTokens);
+    const transfers = await peers.requestTokens(budget, missingTokens);
     for (const { grantId, tokens, remainingMs } of transfers) {
       const spendableUntilMs = askedMs + remainingMs;
       this.#heldGrants.add({ grantId, budget, tokens, spendableUntilMs, isTransferred: true });
@@ -436,7 +436,7 @@
       wantedTokens: Math.max(missingTokens, plan.wantedTokens - heldTokens),
       maxShare: plan.maxShare,
       maxTotalShare: plan.maxTotalShare,
-      awayWeight: plan.unreachableWeight,
+      unreachableWeight: plan.unreachableWeight,
       reachable: peers.reachable(),
       expiresAtMs: clock.wallMs() + grantLifetimeMs,
     };
--- a/packages/ledger/src/GrantPeers/index.ts
+++ b/packages/ledger/src/GrantPeers/index.ts
@@ -51,5 +51,5 @@
    * @param tokens - how many are missing; the peers may send more or fewer
    * @returns the tokens received before a timeout
    */
-  abstract askTokens(budget: BudgetRef, tokens: number): Promise<readonly TransferredTokens[]>;
+  abstract requestTokens(budget: BudgetRef, tokens: number): Promise<readonly TransferredTokens[]>;
 }
--- a/packages/ledger/src/NoGrantPeers/index.ts
+++ b/packages/ledger/src/NoGrantPeers/index.ts
@@ -14,7 +14,7 @@
     return Promise.resolve();
   }
 
-  override askTokens(): Promise<readonly TransferredTokens[]> {
+  override requestTokens(): Promise<readonly TransferredTokens[]> {
     return Promise.resolve([]);
   }
 }
--- a/packages/ledger/src/NoPrepaidPeers/index.ts
+++ b/packages/ledger/src/NoPrepaidPeers/index.ts
@@ -1,4 +1,4 @@
-import { PrepaidPeers, type LoanAnswer } from '../PrepaidPeers/index.js';
+import { PrepaidPeers, type LoanResponse } from '../PrepaidPeers/index.js';
 
 /** For an instance without peers, which is the home of every account. */
 export class NoPrepaidPeers extends PrepaidPeers {
@@ -10,7 +10,7 @@
     return undefined;
   }
 
-  override ask(): Promise<LoanAnswer | undefined> {
+  override ask(): Promise<LoanResponse | undefined> {
     return Promise.resolve(undefined);
   }
 
--- a/packages/ledger/src/PageWriter/test.ts
+++ b/packages/ledger/src/PageWriter/test.ts
@@ -28,7 +28,7 @@
   wantedTokens: 10,
   maxShare: 1,
   maxTotalShare: 1,
-  awayWeight: 1,
+  unreachableWeight: 1,
   reachable: undefined,
   expiresAtMs: 2_000_000_000_000,
 });
--- a/packages/ledger/src/PrepaidAccount/index.ts
+++ b/packages/ledger/src/PrepaidAccount/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   type AccountId,
   type Clock,
   type InstanceId,
@@ -16,9 +16,14 @@
   targetStockTokens,
 } from '../_lib/prepaidStock/index.js';
 import { rankHolders } from '../_lib/rankHolders/index.js';
-import type { LoanAnswer, LoanOutcome, LoanQuestion, PrepaidPeers } from '../PrepaidPeers/index.js';
-import { instanceIdOf, lifetimeKey } from '../prepaidPage/index.js';
-import type { Lifetime } from '../types.js';
+import type {
+  LoanResponse,
+  LoanOutcome,
+  LoanRequest,
+  PrepaidPeers,
+} from '../PrepaidPeers/index.js';
+import { instanceIdOf, processRunKey } from '../prepaidPage/index.js';
+import type { ProcessRun } from '../types.js';
 
 /** The outcome of an attempt to reserve tokens. */
 export type ReserveOutcome = 'reserved' | 'exhausted' | 'heldElsewhere' | 'storeAway';
@@ -34,14 +39,14 @@
 
 /** Options of `PrepaidAccounts`, shared by all its accounts. */
 export interface PrepaidAccountsOptions {
-  lifetime: Lifetime;
+  processRun: ProcessRun;
   store: ObjectStore;
   clock: Clock;
   peers: PrepaidPeers;
   onEvent: (event: GrantEvent) => void;
   random: Random;
   /** Whether the store is known to be unavailable. */
-  isStoreAway: () => boolean;
+  isStoreUnavailable: () => boolean;
 }
 
 /** Options of {@link PrepaidAccount}. */
@@ -187,7 +192,7 @@
   }
 
   /** Handles the request of a peer: accounts for tokens that it passed on, and lends what it needs. */
-  async handleLoanRequest(question: LoanQuestion): Promise<LoanAnswer> {
+  async handleLoanRequest(question: LoanRequest): Promise<LoanResponse> {
     const lender = this.#ownRunKey;
     if (question.givenTo === lender) this.#receiveLoan(question.borrower, question.givenTokens);
     const outcome = await this.#lend(question);
@@ -203,7 +208,7 @@
   tick(): void {
     const nowMs = this.#nowMs;
     this.#isMembershipKnown = true;
-    if (this.#options.isStoreAway()) this.#storeHealthySinceMs = nowMs;
+    if (this.#options.isStoreUnavailable()) this.#storeHealthySinceMs = nowMs;
     this.#usageRate.measure({
       nowMs,
       usedTokens:
@@ -229,7 +234,7 @@
   }
 
   get #ownRunKey(): string {
-    return lifetimeKey(this.#options.lifetime);
+    return processRunKey(this.#options.processRun);
   }
 
   get #ungrantedTokens(): number {
@@ -308,7 +313,7 @@
   }
 
   /** Asks a peer for a loan and receives it; undefined if the peer does not respond. */
-  async #requestLoan(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined> {
+  async #requestLoan(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
     const answer = await this.#options.peers.ask(peer, question);
     if (answer === undefined) return undefined;
     const taken = this.#receiveLoan(answer.lender, answer.lentTokens);
@@ -316,7 +321,7 @@
     return answer;
   }
 
-  #createLoanRequest(neededTokens: number, wantedTokens: number): LoanQuestion {
+  #createLoanRequest(neededTokens: number, wantedTokens: number): LoanRequest {
     return {
       accountId: this.#options.accountId,
       borrower: this.#ownRunKey,
@@ -334,7 +339,7 @@
     return taken;
   }
 
-  async #lend(question: LoanQuestion): Promise<LoanOutcome> {
+  async #lend(question: LoanRequest): Promise<LoanOutcome> {
     const { neededTokens, wantedTokens, limitVersion, borrower } = question;
     if (neededTokens + wantedTokens <= 0) return 'lent';
     // Tokens that were granted under an older limit must not be lent to a borrower with a newer one.
@@ -355,8 +360,8 @@
   }
 
   /** Whether a process run belongs to the home of the account. */
-  #isHomeOf(lifetime: string): boolean {
-    return instanceIdOf(lifetime) === this.#options.peers.homeOf(this.#options.accountId);
+  #isHomeOf(runKey: string): boolean {
+    return instanceIdOf(runKey) === this.#options.peers.homeOf(this.#options.accountId);
   }
 
   /**
@@ -370,7 +375,7 @@
     const holders = rankHolders({
       page: this.#grant.page,
       loans: this.#loans.outstanding(),
-      ownInstance: this.#options.lifetime.instanceId,
+      ownInstance: this.#options.processRun.instanceId,
     });
     for (const holder of holders.slice(0, maxHoldersAsked)) {
       if (this.stockTokens >= neededTokens) break;
@@ -393,7 +398,7 @@
 
   async #refillFromStore(neededTokens: number): Promise<ReserveOutcome> {
     // While the store is unavailable, requests that need it are refused at once.
-    if (this.#options.isStoreAway()) {
+    if (this.#options.isStoreUnavailable()) {
       return this.#isUsedUp(neededTokens) ? 'exhausted' : 'storeAway';
     }
     this.#waitingTokens += neededTokens;
@@ -470,7 +475,7 @@
   #handleStoreError(thrown: unknown, tokens: number): ReserveOutcome {
     this.#grant.invalidatePage();
     this.#report('unknown', tokens);
-    return describeError(thrown).kind === 'storeUnavailable' ? 'storeAway' : 'heldElsewhere';
+    return toRouterError(thrown).kind === 'storeUnavailable' ? 'storeAway' : 'heldElsewhere';
   }
 
   #deny(neededTokens: number, remainingTokens: number): ReserveOutcome {
--- a/packages/ledger/src/PrepaidAccount/test.ts
+++ b/packages/ledger/src/PrepaidAccount/test.ts
@@ -3,9 +3,9 @@
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import {
   PrepaidPeers,
-  type LoanAnswer,
+  type LoanResponse,
   type LoanOutcome,
-  type LoanQuestion,
+  type LoanRequest,
 } from '../PrepaidPeers/index.js';
 import { PrepaidAccount } from './index.js';
 
@@ -24,7 +24,7 @@
     return undefined;
   }
 
-  override ask(_peer: InstanceId, { neededTokens }: LoanQuestion): Promise<LoanAnswer> {
+  override ask(_peer: InstanceId, { neededTokens }: LoanRequest): Promise<LoanResponse> {
     this.#lentTokens += neededTokens;
     const outcome = neededTokens > 0 ? 'lent' : this.stockOutcome;
     return Promise.resolve({ lender: 'home~1', lentTokens: this.#lentTokens, outcome });
@@ -45,13 +45,13 @@
     { prepaidTokens: 1_000_000, version: 1 },
     {
       accountId: 'one' as AccountId,
-      lifetime: { instanceId: 'other' as InstanceId, runId: 'r' },
+      processRun: { instanceId: 'other' as InstanceId, runId: 'r' },
       store: new MemoryObjectStore(new MemoryPlatform(clock), clock),
       clock,
       peers,
       onEvent: () => undefined,
       random: () => 0.5,
-      isStoreAway: () => false,
+      isStoreUnavailable: () => false,
     },
   );
   t.is(await account.refill(50_000), 'reserved');
--- a/packages/ledger/src/PrepaidAccounts/index.ts
+++ b/packages/ledger/src/PrepaidAccounts/index.ts
@@ -5,8 +5,8 @@
   type PrepaidAccountsOptions,
   type ReserveOutcome,
 } from '../PrepaidAccount/index.js';
-import type { LoanAnswer, LoanQuestion } from '../PrepaidPeers/index.js';
-import { lifetimeKey } from '../prepaidPage/index.js';
+import type { LoanResponse, LoanRequest } from '../PrepaidPeers/index.js';
+import { processRunKey } from '../prepaidPage/index.js';
 
 /** Tokens reserved for one request. */
 export interface TokenReservation {
@@ -109,10 +109,10 @@
     this.#peerHandlerRegistration[Symbol.dispose]();
   }
 
-  async #handleLoanRequest(question: LoanQuestion): Promise<LoanAnswer> {
+  async #handleLoanRequest(question: LoanRequest): Promise<LoanResponse> {
     const account = this.#accounts.get(question.accountId);
     if (account !== undefined) return account.handleLoanRequest(question);
-    return { lender: lifetimeKey(this.#options.lifetime), lentTokens: 0, outcome: 'behind' };
+    return { lender: processRunKey(this.#options.processRun), lentTokens: 0, outcome: 'behind' };
   }
 
   /** Updates the totals of accounts whose home is here; a stale list suffices and is cheap for the store. */
--- a/packages/ledger/src/PrepaidPeers/index.ts
+++ b/packages/ledger/src/PrepaidPeers/index.ts
@@ -1,7 +1,7 @@
 import type { AccountId, InstanceId } from '@acaciacrank/base';
 
 /** A request for tokens to a peer, with the total that was passed on to that peer so far. */
-export interface LoanQuestion {
+export interface LoanRequest {
   readonly accountId: AccountId;
   /** The key of the process run that asks. */
   readonly borrower: string;
@@ -21,7 +21,7 @@
 export type LoanOutcome = 'lent' | 'exhausted' | 'heldElsewhere' | 'storeAway' | 'behind';
 
 /** The response of a peer. */
-export interface LoanAnswer {
+export interface LoanResponse {
   /** The key of the process run that lends. */
   readonly lender: string;
   /** The running total of tokens that it passed on to the borrower's process run. */
@@ -30,7 +30,7 @@
 }
 
 /** Handles the request of a peer. */
-export type LoanHandler = (question: LoanQuestion) => Promise<LoanAnswer>;
+export type LoanHandler = (question: LoanRequest) => Promise<LoanResponse>;
 
 /**
  * Communication with the other instances about prepaid tokens.
@@ -62,7 +62,7 @@
    * @param question - the request
    * @returns the response; undefined if none arrived in time
    */
-  abstract ask(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined>;
+  abstract ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined>;
 
   /**
    * Registers the handler for requests of peers.
--- a/packages/ledger/src/_lib/OpenRequests/index.ts
+++ b/packages/ledger/src/_lib/OpenRequests/index.ts
@@ -2,8 +2,8 @@
 
 /** Options of {@link OpenRequests}. */
 export interface OpenRequestsOptions {
-  readonly maxOpenPerPage: number;
-  readonly maxOpen: number;
+  readonly maxOpenRequestsPerPage: number;
+  readonly maxOpenRequests: number;
 }
 
 /**
@@ -28,9 +28,10 @@
    * @throws RouterError `overloaded` if a limit is reached
    */
   checkLimit(pageKey: string): void {
-    const { maxOpenPerPage, maxOpen } = this.#options;
+    const { maxOpenRequestsPerPage, maxOpenRequests } = this.#options;
     const isFull =
-      (this.#countByPage.get(pageKey) ?? 0) >= maxOpenPerPage || this.#total >= maxOpen;
+      (this.#countByPage.get(pageKey) ?? 0) >= maxOpenRequestsPerPage ||
+      this.#total >= maxOpenRequests;
     if (isFull) throw new RouterError('overloaded', 'too many requests wait to be billed');
   }
 
--- a/packages/ledger/src/_lib/StoredGrant/index.ts
+++ b/packages/ledger/src/_lib/StoredGrant/index.ts
@@ -4,17 +4,17 @@
   reportedBoundTotal,
   emptyPrepaidPage,
   grantedTotal,
-  lifetimeKey,
+  processRunKey,
   parsePrepaidPage,
   withGrant,
   type PrepaidPage,
 } from '../../prepaidPage/index.js';
-import type { Lifetime } from '../../types.js';
+import type { ProcessRun } from '../../types.js';
 
 /** Options of {@link StoredGrant}. */
 export interface StoredGrantOptions {
   accountId: AccountId;
-  lifetime: Lifetime;
+  processRun: ProcessRun;
   store: ObjectStore;
 }
 
@@ -107,10 +107,10 @@
 
   /** Writes the grant on the condition that the page was not changed by another writer. */
   async write(grantedTokens: number, drawnTokens: number): Promise<'written' | 'conflict'> {
-    const { store, lifetime } = this.#options;
+    const { store, processRun } = this.#options;
     const { page, version } = this.#page ?? { page: emptyPrepaidPage, version: 0 };
     const grant = { grantedTokens, boundTokens: Math.max(0, drawnTokens) };
-    const next = withGrant(page, lifetime, grant);
+    const next = withGrant(page, processRun, grant);
     const condition =
       version === 0 ? ({ kind: 'absent' } as const) : ({ kind: 'version', version } as const);
     const result = await store.write(this.key, next, condition);
@@ -126,7 +126,7 @@
   #updateTotals(page: PrepaidPage): void {
     this.seenGrantedTokens = grantedTotal(page);
     this.seenBoundTokens = reportedBoundTotal(page);
-    this.reportedTokens = page.grants[lifetimeKey(this.#options.lifetime)]?.boundTokens ?? 0;
+    this.reportedTokens = page.grants[processRunKey(this.#options.processRun)]?.boundTokens ?? 0;
   }
 
   /** Replaces the cached page by the current one of the store. */
@@ -138,7 +138,7 @@
     const version = stored?.version ?? 0;
     this.#page = { page, version };
     this.#updateTotals(page);
-    this.#grantedTokens = page.grants[lifetimeKey(this.#options.lifetime)]?.grantedTokens ?? 0;
+    this.#grantedTokens = page.grants[processRunKey(this.#options.processRun)]?.grantedTokens ?? 0;
     // A write whose response was lost can still take effect as long as its condition holds, that is,
     // until the object has another version.
     if (this.#pendingDecrease !== undefined && version !== this.#pendingDecrease.atVersion) {
--- a/packages/ledger/src/_lib/rankHolders/index.ts
+++ b/packages/ledger/src/_lib/rankHolders/index.ts
@@ -24,16 +24,16 @@
  */
 export function rankHolders({ page, loans, ownInstance }: KnownHolders): InstanceId[] {
   const tokensByInstance = new Map<InstanceId, number>();
-  const addTokens = (lifetime: string, tokens: number) => {
-    const instance = instanceIdOf(lifetime);
+  const addTokens = (runKey: string, tokens: number) => {
+    const instance = instanceIdOf(runKey);
     // Tokens held by an earlier process run of this instance are lost.
     if (instance !== ownInstance)
       tokensByInstance.set(instance, (tokensByInstance.get(instance) ?? 0) + tokens);
   };
-  for (const [lifetime, grant] of Object.entries(page?.grants ?? {})) {
-    addTokens(lifetime, grant.grantedTokens - grant.boundTokens);
+  for (const [runKey, grant] of Object.entries(page?.grants ?? {})) {
+    addTokens(runKey, grant.grantedTokens - grant.boundTokens);
   }
-  for (const [lifetime, tokens] of loans) addTokens(lifetime, tokens);
+  for (const [runKey, tokens] of loans) addTokens(runKey, tokens);
   const holders = [...tokensByInstance]
     .filter(([, tokens]) => tokens > 0)
     .sort((a, b) => b[1] - a[1]);
--- a/packages/ledger/src/applyOperation/index.ts
+++ b/packages/ledger/src/applyOperation/index.ts
@@ -156,11 +156,11 @@
   available: number,
   operation: GrantOperation,
 ): number {
-  const { holder, wantedTokens, maxShare, maxTotalShare, awayWeight } = operation;
+  const { holder, wantedTokens, maxShare, maxTotalShare, unreachableWeight } = operation;
   const remainderTokens = budget.prepaidTokens - budget.settledTokens;
   const ownTokens = Math.floor(remainderTokens * maxShare) - grantedTokens(budget, holder);
   const countedTokens =
-    remainderTokens - available + (awayWeight - 1) * unreachableTokens(budget, operation);
+    remainderTokens - available + (unreachableWeight - 1) * unreachableTokens(budget, operation);
   const totalTokens = Math.floor(remainderTokens * maxTotalShare - countedTokens);
   const tokens = Math.min(available, wantedTokens, ownTokens, totalTokens);
   const targetTokens = Math.min(wantedTokens, remainderTokens * maxShare);
--- a/packages/ledger/src/applyOperation/test.ts
+++ b/packages/ledger/src/applyOperation/test.ts
@@ -32,7 +32,7 @@
   minTokens: 1,
   maxShare: 1,
   maxTotalShare: 1,
-  awayWeight: 1,
+  unreachableWeight: 1,
   reachable: undefined,
   expiresAtMs: 2_000,
 });
@@ -130,7 +130,7 @@
   const shares = {
     maxShare: 0.2,
     maxTotalShare: 0.5,
-    awayWeight: 2,
+    unreachableWeight: 2,
     reachable: new Set(['i1' as InstanceId]),
   };
   const refill = { ...grant('g1', 90), ...shares, minTokens: 0 };
--- a/packages/ledger/src/prepaidPage/index.ts
+++ b/packages/ledger/src/prepaidPage/index.ts
@@ -6,7 +6,7 @@
  */
 import type { InstanceId } from '@acaciacrank/base';
 import { z } from 'zod';
-import type { Lifetime } from '../types.js';
+import type { ProcessRun } from '../types.js';
 
 const grantSchema = z.object({
   /** The total that this process run may ever spend. */
@@ -80,16 +80,20 @@
  * longer be used. Closing them limits the size of a page to one grant per instance.
  *
  * @param page - the current page
- * @param lifetime - the process run
+ * @param processRun - the process run
  * @param grant - its new grant
  * @returns the new page
  *
  * @example
- * withGrant(emptyPrepaidPage, lifetime, { grantedTokens: 10, boundTokens: 0 });
+ * withGrant(emptyPrepaidPage, processRun, { grantedTokens: 10, boundTokens: 0 });
  */
-export function withGrant(page: PrepaidPage, lifetime: Lifetime, grant: PrepaidGrant): PrepaidPage {
-  const ownKey = lifetimeKey(lifetime);
-  const instanceKeyPrefix = `${lifetime.instanceId}${keySeparator}`;
+export function withGrant(
+  page: PrepaidPage,
+  processRun: ProcessRun,
+  grant: PrepaidGrant,
+): PrepaidPage {
+  const ownKey = processRunKey(processRun);
+  const instanceKeyPrefix = `${processRun.instanceId}${keySeparator}`;
   let endedTokens = page.endedTokens;
   const grants: Record<string, PrepaidGrant> = {};
   for (const [key, held] of Object.entries(page.grants)) {
@@ -108,10 +112,10 @@
  * The key of a process run in a page.
  *
  * @example
- * lifetimeKey({ instanceId, runId: '5f' });
+ * processRunKey({ instanceId, runId: '5f' });
  * //=> 'a1~5f'
  */
-export function lifetimeKey({
+export function processRunKey({
   instanceId,
   runId,
 }: {
--- a/packages/ledger/src/types.ts
+++ b/packages/ledger/src/types.ts
@@ -66,7 +66,7 @@
   /** The largest share of the unsettled tokens that all grants together may hold, in (0, 1]. */
   readonly maxTotalShare: number;
   /** The factor by which grants of unreachable holders count towards `maxTotalShare`. */
-  readonly awayWeight: number;
+  readonly unreachableWeight: number;
   /** Instances that can be reached now; undefined if unknown. */
   readonly reachable: ReadonlySet<InstanceId> | undefined;
   readonly expiresAtMs: number;
@@ -172,7 +172,7 @@
 }
 
 /** One process run of an instance, from start to exit. */
-export interface Lifetime {
+export interface ProcessRun {
   readonly instanceId: InstanceId;
   /** Generated at each start, so that two runs of the same instance are never confused. */
   readonly runId: string;
--- a/packages/operators/src/ConfigurationWatcher/index.ts
+++ b/packages/operators/src/ConfigurationWatcher/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   DisposableStore,
   millisecondsInSecond,
   RouterError,
@@ -344,7 +344,7 @@
   }
 
   #recordProblem(version: number | undefined, thrown: unknown): void {
-    const { message } = describeError(thrown);
+    const { message } = toRouterError(thrown);
     if (this.#problem?.message === message && this.#problem.version === version) return;
     this.#problem = { version, message, sinceMs: this.#options.clock.wallMs() };
   }
@@ -393,7 +393,7 @@
         revision = seen;
       } catch (error) {
         // The store no longer has the changes since that revision: start from the current state.
-        if (describeError(error).kind === 'historyGone') revision = 0;
+        if (toRouterError(error).kind === 'historyGone') revision = 0;
         this.#recordProblem(this.#highestOffered?.version, error);
         await clock.sleep(retryMs, this.#stop.signal);
       }
--- a/packages/router/src/Directory/index.ts
+++ b/packages/router/src/Directory/index.ts
@@ -4,7 +4,7 @@
   type Clock,
   type FailureDomainId,
 } from '@acaciacrank/base';
-import type { DirectoryAnswer } from '@acaciacrank/callers';
+import type { DirectoryResponse } from '@acaciacrank/callers';
 import type { Member, Membership } from '@acaciacrank/fleet';
 import type { ListedInstance } from '@acaciacrank/store';
 import { chooseInstances } from '@acaciacrank/routing';
@@ -17,7 +17,7 @@
 }
 
 /** How long callers may cache the directory's answer, in milliseconds. */
-export const directoryKeepMs = 5 * millisecondsInSecond;
+export const directoryTtlMs = 5 * millisecondsInSecond;
 /** Minimum number of instances of an account, so that it can lose one. */
 const minInstancesPerAccount = 2;
 /** Target for the average number of open requests of one account at one instance. */
@@ -49,12 +49,12 @@
   }
 
   /** Number of instances that accept new requests, including this one. */
-  get usableInstances(): number {
+  get usableInstanceCount(): number {
     return this.#candidates().length;
   }
 
   /** The instances that accept new requests, including this one. */
-  get usable(): readonly ListedInstance[] {
+  get usableInstances(): readonly ListedInstance[] {
     return this.#candidates();
   }
 
@@ -80,7 +80,7 @@
    * @param accountId - client account of the caller
    * @param nearFailureDomain - failure domain of the caller, if it states one
    */
-  answer(accountId: AccountId, nearFailureDomain: string | undefined): DirectoryAnswer {
+  answer(accountId: AccountId, nearFailureDomain: string | undefined): DirectoryResponse {
     const count = this.#instanceCountFor(accountId);
     const chosen = chooseInstances(accountId, this.#candidates(), {
       count,
@@ -97,7 +97,7 @@
     ];
     return {
       instances: instances.map(({ id, url, failureDomain }) => ({ id, url, failureDomain })),
-      keepMs: directoryKeepMs,
+      keepMs: directoryTtlMs,
     };
   }
 
@@ -108,7 +108,7 @@
    */
   #instanceCountFor(accountId: AccountId): number {
     const nowMs = this.#options.clock.monotonicMs();
-    const maxCount = Math.max(minInstancesPerAccount, this.usableInstances);
+    const maxCount = Math.max(minInstancesPerAccount, this.usableInstanceCount);
     const previous = this.#instanceCounts.get(accountId);
     if (previous !== undefined && nowMs - previous.sinceMs < countReviewIntervalMs) {
       return Math.min(previous.count, maxCount);
--- a/packages/router/src/Directory/test.ts
+++ b/packages/router/src/Directory/test.ts
@@ -7,7 +7,7 @@
   type FailureDomainId,
   type InstanceId,
 } from '@acaciacrank/base';
-import { FleetQuestions, Membership, NoFleetLinks, type MemberRecord } from '@acaciacrank/fleet';
+import { FleetRpc, Membership, NoFleetLinks, type MemberRecord } from '@acaciacrank/fleet';
 import type { ListedInstance } from '@acaciacrank/store';
 import { Directory } from './index.js';
 
@@ -44,15 +44,15 @@
     clock,
     links,
     random: () => 0.5,
-    questions: new FleetQuestions({ links, clock }),
+    rpc: new FleetRpc({ links, clock }),
     metrics: new Metrics(),
     log: createLog('test', { level: 'fatal' }),
     self: { id: 'i0' as InstanceId, life: 'a', failureDomain: 'fd0' as FailureDomainId },
     configurationVersion: () => 1,
   });
   membership.start({ url: 'http://10.0.0.0:80', fleetUrl: '' });
-  membership.serve();
-  membership.list([1, 2, 3, 4].map(entry));
+  membership.declareLive();
+  membership.applyInstanceList([1, 2, 3, 4].map(entry));
   const directory = new Directory({ clock, membership });
   const named = (nearFailureDomain?: string) =>
     directory.answer(account, nearFailureDomain).instances.map(({ id }) => id);
@@ -61,7 +61,7 @@
 
 test('names two instances and counts this one among the usable ones', (t) => {
   const { directory, named } = createDirectory();
-  t.is(directory.usableInstances, 5);
+  t.is(directory.usableInstanceCount, 5);
   t.is(named().length, 2);
   t.is(directory.answer(account, undefined).keepMs, 5_000);
 });
--- a/packages/router/src/EngineOrders/index.ts
+++ b/packages/router/src/EngineOrders/index.ts
@@ -11,11 +11,16 @@
 import type { ListedInstance, ObjectStore } from '@acaciacrank/store';
 import {
   chooseInstances,
-  estimatedLoad,
+  estimateLoad,
   type Upstream,
   type UpstreamRegistry,
 } from '@acaciacrank/routing';
-import { createOrderKeeper, OrderRate, StoreLease, type KeptEngine } from '@acaciacrank/upstreams';
+import {
+  createOrderReconciler,
+  WeightLoadRateLimiter,
+  StoreLease,
+  type ManagedEngine,
+} from '@acaciacrank/upstreams';
 
 /** Options of {@link EngineOrders}. */
 export interface EngineOrdersOptions {
@@ -42,7 +47,7 @@
 
 type Holds = NonNullable<EngineServiceDocument['holds']>;
 
-interface RunningKeeper extends AsyncDisposable {
+interface RunningReconciler extends AsyncDisposable {
   /** The settings of the keeper; if they change, the keeper is replaced. */
   readonly settingsKey: string;
 }
@@ -50,7 +55,7 @@
 /** Runs an order keeper for each service for whose lease this instance competes. */
 export class EngineOrders implements AsyncDisposable {
   readonly #options: EngineOrdersOptions;
-  readonly #keepers = new Map<string, RunningKeeper>();
+  readonly #reconcilers = new Map<string, RunningReconciler>();
   readonly #stop = new AbortController();
   #reconcileLoop: Promise<void> | undefined;
 
@@ -66,7 +71,9 @@
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stop.abort();
     await this.#reconcileLoop;
-    await Promise.all([...this.#keepers.values()].map((keeper) => keeper[Symbol.asyncDispose]()));
+    await Promise.all(
+      [...this.#reconcilers.values()].map((reconciler) => reconciler[Symbol.asyncDispose]()),
+    );
   }
 
   async #runReconcileLoop(): Promise<void> {
@@ -82,14 +89,15 @@
     const servicesByName = new Map(
       this.#contendedServices().map((service) => [service.name, service]),
     );
-    for (const [name, keeper] of this.#keepers) {
+    for (const [name, reconciler] of this.#reconcilers) {
       const service = servicesByName.get(name);
-      if (service !== undefined && keeperSettingsKey(service) === keeper.settingsKey) continue;
-      this.#keepers.delete(name);
-      await keeper[Symbol.asyncDispose]();
+      if (service !== undefined && reconcilerSettingsKey(service) === reconciler.settingsKey)
+        continue;
+      this.#reconcilers.delete(name);
+      await reconciler[Symbol.asyncDispose]();
     }
     for (const [name, service] of servicesByName) {
-      if (!this.#keepers.has(name)) this.#keepers.set(name, this.#startKeeper(service));
+      if (!this.#reconcilers.has(name)) this.#reconcilers.set(name, this.#startReconciler(service));
     }
   }
 
@@ -109,9 +117,9 @@
     return contenders.some(({ id }) => id === instanceId);
   }
 
-  #startKeeper(service: EngineServiceDocument): RunningKeeper {
+  #startReconciler(service: EngineServiceDocument): RunningReconciler {
     const { clock, environment, incarnation, instanceId, metrics, store } = this.#options;
-    const keeper = createOrderKeeper(service.checksFencing, {
+    const reconciler = createOrderReconciler(service.checksFencing, {
       clock,
       metrics,
       lease: new StoreLease({
@@ -121,18 +129,21 @@
         holder: instanceId,
         incarnation,
       }),
-      rate: new OrderRate({ clock, loadsPerMinute: service.holds?.loadsPerMinute ?? 1 }),
+      rate: new WeightLoadRateLimiter({
+        clock,
+        loadsPerMinute: service.holds?.loadsPerMinute ?? 1,
+      }),
       engines: () => this.#enginesWithTargets(service.name),
     });
-    keeper.start();
+    reconciler.start();
     return {
-      settingsKey: keeperSettingsKey(service),
-      [Symbol.asyncDispose]: () => keeper[Symbol.asyncDispose](),
+      settingsKey: reconcilerSettingsKey(service),
+      [Symbol.asyncDispose]: () => reconciler[Symbol.asyncDispose](),
     };
   }
 
   /** The engines of a service with their targets from the configuration currently in force. */
-  #enginesWithTargets(name: string): KeptEngine[] {
+  #enginesWithTargets(name: string): ManagedEngine[] {
     const service = this.#contendedServices().find((candidate) => candidate.name === name);
     const { holds } = service ?? {};
     if (holds === undefined) return [];
@@ -143,7 +154,7 @@
   }
 }
 
-function withTarget(upstream: Upstream, holds: Holds, all: readonly Upstream[]): KeptEngine[] {
+function withTarget(upstream: Upstream, holds: Holds, all: readonly Upstream[]): ManagedEngine[] {
   const { id, engine, state } = upstream;
   if (engine === undefined) return [];
   const { models, adapters, role } = holds;
@@ -156,10 +167,10 @@
 function leastLoadedUpstreamId(upstreams: readonly Upstream[]): UpstreamId | undefined {
   const [first] = upstreams
     .filter(({ state }) => state === 'live')
-    .sort((a, b) => estimatedLoad(a) - estimatedLoad(b));
+    .sort((a, b) => estimateLoad(a) - estimateLoad(b));
   return first?.id;
 }
 
-function keeperSettingsKey(service: EngineServiceDocument): string {
+function reconcilerSettingsKey(service: EngineServiceDocument): string {
   return JSON.stringify([service.checksFencing, service.holds?.loadsPerMinute]);
 }
--- a/packages/router/src/FleetGrantPeers/index.ts
+++ b/packages/router/src/FleetGrantPeers/index.ts
@@ -1,5 +1,5 @@
 import type { InstanceId } from '@acaciacrank/base';
-import type { FleetQuestions } from '@acaciacrank/fleet';
+import type { FleetRpc } from '@acaciacrank/fleet';
 import {
   GrantPeers,
   type BudgetRef,
@@ -9,7 +9,7 @@
 
 /** Options of {@link FleetGrantPeers}. */
 export interface FleetGrantPeersOptions {
-  questions: FleetQuestions;
+  rpc: FleetRpc;
   instanceId: InstanceId;
   /** Identifies this process run: a response to an earlier run of the instance is ignored. */
   life: string;
@@ -30,12 +30,12 @@
   }
 
   override serve(handler: GrantPeerHandler): Disposable {
-    const { questions } = this.#options;
-    const giveBackHandler = questions.answer('giveBack', async ({ budget }) => {
+    const { rpc } = this.#options;
+    const giveBackHandler = rpc.answer('giveBack', async ({ budget }) => {
       await handler.giveBack(budget);
       return { kind: 'giveBack' };
     });
-    const handOverHandler = questions.answer('handOver', ({ life, budget, tokens }) => ({
+    const handOverHandler = rpc.answer('handOver', ({ life, budget, tokens }) => ({
       kind: 'handOver',
       life,
       transfers: [...handler.handOver(budget, tokens)],
@@ -56,13 +56,13 @@
     const live = this.reachable();
     const reachableHolders = holders.filter((holder) => live.has(holder));
     const ask = (holder: InstanceId) =>
-      this.#options.questions
+      this.#options.rpc
         .ask(holder, { kind: 'giveBack', budget }, { timeoutMs: answerTimeoutMs })
         .catch(() => undefined);
     await Promise.all(reachableHolders.map(ask));
   }
 
-  override async askTokens(
+  override async requestTokens(
     budget: BudgetRef,
     tokens: number,
   ): Promise<readonly TransferredTokens[]> {
@@ -82,9 +82,9 @@
     budget: BudgetRef,
     tokens: number,
   ): Promise<readonly TransferredTokens[]> {
-    const { questions, life } = this.#options;
+    const { rpc, life } = this.#options;
     const question = { kind: 'handOver', life, budget, tokens } as const;
-    const reply = await questions
+    const reply = await rpc
       .ask(peer, question, { timeoutMs: answerTimeoutMs })
       .catch(() => undefined);
     return reply?.life === life ? reply.transfers : [];
--- a/packages/router/src/Instance/index.ts
+++ b/packages/router/src/Instance/index.ts
@@ -17,7 +17,7 @@
   EngineDispatch,
   ServiceDispatch,
   ServiceHandler,
-  type DirectoryAnswer,
+  type DirectoryResponse,
 } from '@acaciacrank/callers';
 import {
   BudgetLedger,
@@ -26,8 +26,8 @@
   type GrantPolicy,
 } from '@acaciacrank/ledger';
 import {
-  ConfigurationSpread,
-  FleetQuestions,
+  ConfigurationGossip,
+  FleetRpc,
   Membership,
   NoFleetLinks,
   type FleetLinks,
@@ -40,7 +40,7 @@
   PrefixAffinity,
   RetryBudget,
   UpstreamRegistry,
-  type UpstreamChoice,
+  type UpstreamSelector,
   type UpstreamClients,
 } from '@acaciacrank/routing';
 import { Directory } from '../Directory/index.js';
@@ -64,7 +64,7 @@
   metrics?: Metrics;
   failureDomain?: FailureDomainId;
   grantPolicy?: GrantPolicy;
-  choice?: UpstreamChoice;
+  choice?: UpstreamSelector;
   /** How long a started answer continues after its caller has disconnected, in milliseconds. */
   lingerMs?: number;
 }
@@ -80,9 +80,9 @@
   readonly metrics: Metrics;
   readonly configuration: ConfigurationWatcher;
   readonly links: FleetLinks;
-  readonly questions: FleetQuestions;
+  readonly rpc: FleetRpc;
   readonly membership: Membership;
-  readonly configurationGossip: ConfigurationSpread;
+  readonly configurationGossip: ConfigurationGossip;
   readonly directory: Directory;
   readonly plannedStop: PlannedStop;
   readonly registry: UpstreamRegistry;
@@ -103,7 +103,7 @@
     const incarnation = Math.floor(random() * 2 ** 48).toString(36);
     const choice = options.choice ?? new PrefixAffinity();
     this.links = options.links ?? new NoFleetLinks();
-    this.questions = this.#owned.add(new FleetQuestions({ links: this.links, clock }));
+    this.rpc = this.#owned.add(new FleetRpc({ links: this.links, clock }));
     this.configuration = this.#owned.add(
       new ConfigurationWatcher({
         store,
@@ -120,10 +120,10 @@
         clients,
         clock,
         instanceId,
-        usableInstances: () => this.directory.usableInstances,
+        instanceCount: () => this.directory.usableInstanceCount,
         outliers: { random },
         onCacheEvent: (upstream, event) => {
-          choice.learnCacheEvent(upstream, event);
+          choice.handleCacheEvent(upstream, event);
         },
       }),
     );
@@ -134,7 +134,7 @@
         // requests draw.
         random: createRandom(hashText(`membership\n${instanceId}\n${incarnation}`)),
         links: this.links,
-        questions: this.questions,
+        rpc: this.rpc,
         metrics: this.metrics,
         log: options.log,
         self: {
@@ -146,10 +146,10 @@
       }),
     );
     this.configurationGossip = this.#owned.add(
-      new ConfigurationSpread({
+      new ConfigurationGossip({
         clock,
         links: this.links,
-        questions: this.questions,
+        rpc: this.rpc,
         membership: this.membership,
         metrics: this.metrics,
         configuration: {
@@ -171,7 +171,7 @@
       closeGrants: () => this.ledger.closeAll(),
     });
     const grantPeers = new FleetGrantPeers({
-      questions: this.questions,
+      rpc: this.rpc,
       instanceId,
       life: incarnation,
       live: () => this.#reachablePeers(),
@@ -200,9 +200,9 @@
     const queue = new AdmissionQueue({
       clock,
       random,
-      limit: (service) => (service === undefined ? 0 : this.registry.places(service)),
-      expectedServeMs: ({ service, priority }) =>
-        service === undefined ? 0 : this.registry.usualFirstTokenMs(service, priority),
+      limit: (service) => (service === undefined ? 0 : this.registry.slots(service)),
+      expectedFirstTokenMs: ({ service, priority }) =>
+        service === undefined ? 0 : this.registry.averageFirstTokenMs(service, priority),
     });
     const retries = new RetryBudget({ clock, instanceCount: () => 1 + this.#peerCount });
     const engines = new EngineDispatch({ ...sharedOptions, retries });
@@ -220,7 +220,7 @@
         registry: this.registry,
         environment,
         services: () => this.configuration.inForce.value?.index.settings.services ?? [],
-        entryInstances: () => this.directory.usable,
+        entryInstances: () => this.directory.usableInstances,
       }),
     );
   }
@@ -259,7 +259,7 @@
       (inForce) => {
         if (inForce === undefined) return;
         log.info({ version: inForce.version }, 'configuration in force');
-        this.membership.serve();
+        this.membership.declareLive();
         this.configurationGossip.announce(inForce.version);
       },
       (error) => {
@@ -304,7 +304,7 @@
   findInstances(
     accountKey: string | undefined,
     nearFailureDomain: string | undefined,
-  ): DirectoryAnswer {
+  ): DirectoryResponse {
     return this.directory.answer(
       this.configuration.current().index.accountOfKey(accountKey),
       nearFailureDomain,
@@ -347,7 +347,7 @@
 
   async #readList(): Promise<void> {
     const listed = await this.#options.list.read();
-    this.membership.list(listed.filter((entry) => entry.role === 'entry'));
+    this.membership.applyInstanceList(listed.filter((entry) => entry.role === 'entry'));
   }
 
   async #pollList(): Promise<void> {
--- a/packages/router/src/PlannedStop/index.ts
+++ b/packages/router/src/PlannedStop/index.ts
@@ -6,7 +6,7 @@
   type Metrics,
 } from '@acaciacrank/base';
 import type { Membership } from '@acaciacrank/fleet';
-import { directoryKeepMs } from '../Directory/index.js';
+import { directoryTtlMs } from '../Directory/index.js';
 
 /** Options of {@link PlannedStop}. */
 export interface PlannedStopOptions {
@@ -101,7 +101,7 @@
     this.#phase = 'announced';
     membership.leave();
     log.info({ openRequests: openRequests() }, 'leaving');
-    await clock.sleep(Math.min(limitMs, directoryKeepMs + membershipPropagationMs));
+    await clock.sleep(Math.min(limitMs, directoryTtlMs + membershipPropagationMs));
     this.#phase = 'refusing';
     log.info({ openRequests: openRequests() }, 'refusing new requests');
     while (openWork() > 0 && clock.monotonicMs() < deadlineMs) await clock.sleep(openWorkPollMs);
--- a/packages/router/src/PlannedStop/test.ts
+++ b/packages/router/src/PlannedStop/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { createLog, ManualClock, Metrics, type InstanceId } from '@acaciacrank/base';
-import { FleetQuestions, Membership, NoFleetLinks } from '@acaciacrank/fleet';
+import { FleetRpc, Membership, NoFleetLinks } from '@acaciacrank/fleet';
 import { PlannedStop } from './index.js';
 
 function createStop(openRequests: () => number, closeGrants = () => Promise.resolve()) {
@@ -14,7 +14,7 @@
     log,
     links,
     random: () => 0.5,
-    questions: new FleetQuestions({ links, clock }),
+    rpc: new FleetRpc({ links, clock }),
     self: { id: 'a' as InstanceId, life: 'one', failureDomain: '' as never },
     configurationVersion: () => 0,
   });
--- a/packages/router/src/bin.ts
+++ b/packages/router/src/bin.ts
@@ -2,7 +2,7 @@
 /**
  * `acaciacrank`: runs one instance.
  */
-import { describeError, readSettings } from '@acaciacrank/base';
+import { toRouterError, readSettings } from '@acaciacrank/base';
 import { cac } from 'cac';
 import { instanceSettingsSchema } from './instanceSettings/index.js';
 import { runInstance } from './runInstance/index.js';
@@ -41,7 +41,7 @@
 }
 
 main().catch((thrown: unknown) => {
-  const error = describeError(thrown);
+  const error = toRouterError(thrown);
   process.stderr.write(`acaciacrank: ${error.kind}: ${error.message}\n  ${error.remedy}\n`);
   process.exitCode = error.kind === 'badSettings' ? exitCodes.badUsage : exitCodes.failed;
 });
--- a/packages/router/src/createOperatorServer/index.ts
+++ b/packages/router/src/createOperatorServer/index.ts
@@ -1,6 +1,6 @@
 import {
   bytesInKibibyte,
-  describeError,
+  toRouterError,
   digestText,
   millisecondsInSecond,
   RouterError,
@@ -153,7 +153,7 @@
 }
 
 function writeError(response: ServerResponse, thrown: unknown): void {
-  const { kind, message, remedy, httpStatus } = describeError(thrown);
+  const { kind, message, remedy, httpStatus } = toRouterError(thrown);
   if (kind === 'unauthenticated') {
     response.setHeader('www-authenticate', 'Basic realm="acaciacrank operators"');
   }
--- a/packages/routing/src/AdmissionQueue/index.ts
+++ b/packages/routing/src/AdmissionQueue/index.ts
@@ -15,7 +15,7 @@
   /** Maximum number of waiting requests per service; 1000 by default. */
   maxWaiting?: number;
   /** Expected time from a request's admission to its first token, in milliseconds; 0 by default. */
-  expectedServeMs?: (request: AdmissionRequest) => number;
+  expectedFirstTokenMs?: (request: AdmissionRequest) => number;
   /** Adds jitter to the retry-after times; no jitter by default. */
   random?: Random;
 }
@@ -204,7 +204,7 @@
 
   /** Longest wait after which the first token can still be in time. */
   #maxSlotWaitMs(request: AdmissionRequest): number {
-    return request.waitMs - (this.#options.expectedServeMs?.(request) ?? 0);
+    return request.waitMs - (this.#options.expectedFirstTokenMs?.(request) ?? 0);
   }
 
   #createRefusal(service: ServiceName | undefined, message: string, lateMs: number): RouterError {
--- a/packages/routing/src/EngineModel/index.ts
+++ b/packages/routing/src/EngineModel/index.ts
@@ -13,7 +13,7 @@
 }
 
 /** The result of a fit, for logs. */
-export interface EngineFit {
+export interface PrefillTimeFit {
   /** Number of samples observed so far. */
   readonly reads: number;
   /** Milliseconds per prompt, per thousand new tokens, and per million pairs of attended tokens. */
@@ -40,22 +40,22 @@
  * have little weight.
  *
  * @example
- * model.observeRead({ newTokens: 3_000, cachedTokens: 10_000, elapsedMs: 70 });
+ * model.observePrefill({ newTokens: 3_000, cachedTokens: 10_000, elapsedMs: 70 });
  * model.readMs(3_000, 10_000);
  */
-export class EngineModel {
+export class PrefillTimeModel {
   readonly #samples: Sample[] = [];
   #sampleCount = 0;
   #coefficients: readonly number[] = priorCoefficients;
-  readonly #onFit: (fit: EngineFit) => void;
+  readonly #onFit: (fit: PrefillTimeFit) => void;
 
   /** @param onFit - called after each new fit */
-  constructor(onFit: (fit: EngineFit) => void = () => undefined) {
+  constructor(onFit: (fit: PrefillTimeFit) => void = () => undefined) {
     this.#onFit = onFit;
   }
 
   /** Records the prefill time of a prompt; implausible samples are ignored. */
-  observeRead({ newTokens, cachedTokens, elapsedMs }: PrefillSample): void {
+  observePrefill({ newTokens, cachedTokens, elapsedMs }: PrefillSample): void {
     if (!isPlausibleDuration(elapsedMs) || !isPlausibleCount(newTokens + cachedTokens)) return;
     addSample(this.#samples, {
       value: elapsedMs,
--- a/packages/routing/src/EngineModel/test.ts
+++ b/packages/routing/src/EngineModel/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { createRandom, type Random } from '@acaciacrank/base';
-import { EngineModel } from './index.js';
+import { PrefillTimeModel } from './index.js';
 
 /** Prefill performance of a kind of engine. */
 interface EngineKind {
@@ -20,7 +20,7 @@
 
 /** Two in five prompts wait for another prompt, some engines are slow, some samples are invalid. */
 function observeSamples(
-  model: EngineModel,
+  model: PrefillTimeModel,
   kind: EngineKind,
   random: Random,
   requests = 200,
@@ -31,14 +31,14 @@
     const waitMs = random() < 0.4 ? random() * 400 : 0;
     const slowness = random() < 0.05 ? 3 : 1;
     const elapsedMs = slowness * truePrefillMs(kind, newTokens, cachedTokens) + waitMs;
-    model.observeRead({ newTokens, cachedTokens, elapsedMs });
-    model.observeRead({ newTokens: Number.NaN, cachedTokens: 0, elapsedMs: 1 });
+    model.observePrefill({ newTokens, cachedTokens, elapsedMs });
+    model.observePrefill({ newTokens: Number.NaN, cachedTokens: 0, elapsedMs: 1 });
   }
 }
 
 for (const [name, kind] of Object.entries(kinds)) {
   test(`estimates engines with ${name} to within 15% after 200 requests`, (t) => {
-    const model = new EngineModel();
+    const model = new PrefillTimeModel();
     observeSamples(model, kind, createRandom(7));
     for (const [newTokens, cachedTokens] of [
       [3_000, 12_000],
@@ -54,7 +54,7 @@
 // Guards against placing prompts by the speed of engines that have since been replaced by others of half
 // the speed.
 test('adapts to replaced engines', (t) => {
-  const model = new EngineModel();
+  const model = new PrefillTimeModel();
   const [first, second] = Object.values(kinds);
   if (first === undefined || second === undefined) return t.fail();
   observeSamples(model, first, createRandom(1));
@@ -64,6 +64,6 @@
 });
 
 test('returns plausible estimates without samples', (t) => {
-  const model = new EngineModel();
+  const model = new PrefillTimeModel();
   t.true(model.readMs(6_400, 0) > 50 && model.readMs(6_400, 0) < 250);
 });
--- a/packages/routing/src/ForeignQueue/index.ts
+++ b/packages/routing/src/ForeignQueue/index.ts
@@ -16,7 +16,7 @@
  * estimator.observe(400, nowMs);
  * estimator.estimateMs(nowMs + 100, 0);
  */
-export class ForeignQueue {
+export class PeerBacklogEstimator {
   #backlogMs = 0;
   #observedMs = -Infinity;
 
--- a/packages/routing/src/ForeignQueue/test.ts
+++ b/packages/routing/src/ForeignQueue/test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import { createRandom } from '@acaciacrank/base';
 import { placePrompt } from '../placePrompt/index.js';
-import { ForeignQueue } from './index.js';
+import { PeerBacklogEstimator } from './index.js';
 
 test('the estimate decays, and an overdue prompt takes effect immediately', (t) => {
-  const estimator = new ForeignQueue();
+  const estimator = new PeerBacklogEstimator();
   t.is(estimator.estimateMs(0, 0), 0);
   estimator.observe(400, 1_000);
   t.is(estimator.estimateMs(1_000, 0), 200);
@@ -25,7 +25,7 @@
   const busyUntilMs = new Map(engineIds.map((id) => [id, 0]));
   const estimatorsByInstance = Array.from(
     { length: instances },
-    () => new Map(engineIds.map((id) => [id, new ForeignQueue()])),
+    () => new Map(engineIds.map((id) => [id, new PeerBacklogEstimator()])),
   );
   const events: { atMs: number; observe: () => void }[] = [];
   const waitsMs: number[] = [];
@@ -43,7 +43,7 @@
       running: 0,
     }));
     const holders = new Set(engineIds);
-    const placement = placePrompt({ key: part, sharedMs: 150, holders }, engines);
+    const placement = placePrompt({ key: part, sharedPartsMs: 150, holders }, engines);
     if (placement === undefined) return waitsMs;
     const { id } = placement.engine;
     const waitMs = Math.max(0, (busyUntilMs.get(id) ?? 0) - nowMs);
--- a/packages/routing/src/LeastInFlight/index.ts
+++ b/packages/routing/src/LeastInFlight/index.ts
@@ -1,9 +1,9 @@
 import { minBy } from '../LeastReportedLoad/index.js';
-import { UpstreamChoice } from '../UpstreamChoice/index.js';
+import { UpstreamSelector } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /** Picks the candidate with the fewest in-flight requests of this instance. */
-export class LeastInFlight extends UpstreamChoice {
+export class LeastInFlight extends UpstreamSelector {
   override readonly name = 'leastInFlight';
 
   override choose(candidates: readonly Upstream[]): Upstream | undefined {
--- a/packages/routing/src/LeastReportedLoad/index.ts
+++ b/packages/routing/src/LeastReportedLoad/index.ts
@@ -1,11 +1,11 @@
-import { UpstreamChoice } from '../UpstreamChoice/index.js';
+import { UpstreamSelector } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /**
  * Picks the candidate with the lowest load in its last report. All instances read the same reports, so
  * between two reports they all send to the same upstream.
  */
-export class LeastReportedLoad extends UpstreamChoice {
+export class LeastReportedLoad extends UpstreamSelector {
   override readonly name = 'leastReportedLoad';
 
   override choose(candidates: readonly Upstream[]): Upstream | undefined {
--- a/packages/routing/src/PrefixAffinity/index.ts
+++ b/packages/routing/src/PrefixAffinity/index.ts
@@ -1,6 +1,6 @@
 import type { CacheEvent } from '@acaciacrank/upstreams';
-import { estimatedLoad } from '../estimatedLoad/index.js';
-import { UpstreamChoice, type SelectionContext } from '../UpstreamChoice/index.js';
+import { estimateLoad } from '../estimatedLoad/index.js';
+import { UpstreamSelector, type SelectionContext } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /** Options of {@link PrefixAffinity}. */
@@ -34,7 +34,7 @@
  * The number of compared candidates is bounded. Random sampling prevents all instances from sending to
  * the one upstream that a late report shows as idle.
  */
-export class PrefixAffinity extends UpstreamChoice {
+export class PrefixAffinity extends UpstreamSelector {
   override readonly name = 'prefixAffinity';
   readonly #options: Required<PrefixAffinityOptions>;
   readonly #holders = new Map<number, readonly PrefixHolder[]>();
@@ -69,7 +69,7 @@
    * a prefix sent since then takes precedence and corrects a wrong hint at its next use. Whoever reads
    * the events discards those of an earlier incarnation.
    */
-  override learnCacheEvent(upstream: Upstream, event: CacheEvent): void {
+  override handleCacheEvent(upstream: Upstream, event: CacheEvent): void {
     const holders = this.#holders.get(event.prefixHash);
     if (event.kind === 'evicted') {
       if (holders === undefined) return;
@@ -136,5 +136,5 @@
 /** Load multiplied by how much longer than usual the upstream takes to return first tokens. */
 function costOf(upstream: Upstream): number {
   const slowness = Math.min(maxSlowness, Math.max(1, upstream.health.slowness));
-  return (estimatedLoad(upstream) + baseCost) * slowness;
+  return (estimateLoad(upstream) + baseCost) * slowness;
 }
--- a/packages/routing/src/PrefixAffinity/test.ts
+++ b/packages/routing/src/PrefixAffinity/test.ts
@@ -6,7 +6,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import type { Upstream } from '../types.js';
-import { ShareLimit } from '../ShareLimit/index.js';
+import { EvenShareLimit } from '../ShareLimit/index.js';
 import { UpstreamHealth } from '../UpstreamHealth/index.js';
 import { PrefixAffinity } from './index.js';
 
@@ -31,7 +31,7 @@
     state: 'live',
     incarnation: 0,
     isSuspect: false,
-    limit: new ShareLimit(),
+    limit: new EvenShareLimit(),
     health: new UpstreamHealth(),
   };
 }
@@ -72,9 +72,9 @@
   const holder = choice.choose(upstreams, context(1));
   if (holder === undefined) throw new Error('no upstream chosen');
   holder.sentSinceReport = 1;
-  choice.learnCacheEvent(holder, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
+  choice.handleCacheEvent(holder, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
   t.not(choice.choose(upstreams, context(2)), holder);
-  choice.learnCacheEvent(holder, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
+  choice.handleCacheEvent(holder, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
   t.not(choice.choose(upstreams, context(2, 8)), holder);
 });
 
--- a/packages/routing/src/RetryShare/index.ts
+++ b/packages/routing/src/RetryShare/index.ts
@@ -4,9 +4,9 @@
 export interface RetryShareOptions {
   clock: Clock;
   /** Retries allowed for each request in the window. */
-  repeatsPerRequest: number;
+  retriesPerRequest: number;
   /** Additional retries allowed per window, for all instances combined. */
-  freeRepeats: number;
+  additionalRetries: number;
   /** Length of the sliding window, in milliseconds. */
   windowMs: number;
   /** Returns the number of instances that currently share the allowance, including this one. */
@@ -47,13 +47,13 @@
    * @returns whether the retry is allowed
    *
    * @example
-   * if (!share.tryRepeat(service)) return failure;
+   * if (!share.tryRetry(service)) return failure;
    */
-  tryRepeat(service: ServiceName): boolean {
-    const { clock, repeatsPerRequest, freeRepeats, instanceCount } = this.#options;
+  tryRetry(service: ServiceName): boolean {
+    const { clock, retriesPerRequest, additionalRetries, instanceCount } = this.#options;
     const requests = this.#pruneToWindow(this.#requests, service).length;
     const retries = this.#pruneToWindow(this.#retries, service);
-    const allowance = repeatsPerRequest * requests + freeRepeats / instanceCount();
+    const allowance = retriesPerRequest * requests + additionalRetries / instanceCount();
     if (retries.length + 1 > allowance * usableFraction) return false;
     retries.push(clock.monotonicMs());
     return true;
--- a/packages/routing/src/RetryShare/test.ts
+++ b/packages/routing/src/RetryShare/test.ts
@@ -4,8 +4,8 @@
 
 const service = 'app' as ServiceName;
 const windowMs = 10_000;
-const repeatsPerRequest = 0.2;
-const freeRepeats = 58;
+const retriesPerRequest = 0.2;
+const additionalRetries = 58;
 
 // Guards against doubling the load on a failing service: it fails every request for half a minute, and
 // without a limit each instance would retry all of them.
@@ -14,7 +14,13 @@
   const random = createRandom(1);
   const shares = [1, 2, 3, 4].map(
     () =>
-      new RetryShare({ clock, repeatsPerRequest, freeRepeats, windowMs, instanceCount: () => 4 }),
+      new RetryShare({
+        clock,
+        retriesPerRequest,
+        additionalRetries,
+        windowMs,
+        instanceCount: () => 4,
+      }),
   );
   const requests: number[] = [];
   const retries: number[] = [];
@@ -23,10 +29,10 @@
     const share = shares[Math.floor(random() * shares.length)];
     share?.recordRequest(service);
     requests.push(clock.monotonicMs());
-    if (share?.tryRepeat(service) === true) retries.push(clock.monotonicMs());
+    if (share?.tryRetry(service) === true) retries.push(clock.monotonicMs());
     const sinceMs = clock.monotonicMs() - windowMs;
     const recent = (times: number[]) => times.filter((atMs) => atMs > sinceMs).length;
-    t.true(recent(retries) <= repeatsPerRequest * recent(requests) + freeRepeats);
+    t.true(recent(retries) <= retriesPerRequest * recent(requests) + additionalRetries);
   }
   t.true(retries.length > 100);
 });
--- a/packages/routing/src/RoundRobin/index.ts
+++ b/packages/routing/src/RoundRobin/index.ts
@@ -1,8 +1,8 @@
-import { UpstreamChoice } from '../UpstreamChoice/index.js';
+import { UpstreamSelector } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /** Cycles through the candidates regardless of their load. Serves as a baseline in experiments. */
-export class RoundRobin extends UpstreamChoice {
+export class RoundRobin extends UpstreamSelector {
   override readonly name = 'roundRobin';
   #turn = 0;
 
--- a/packages/routing/src/ShareLimit/index.ts
+++ b/packages/routing/src/ShareLimit/index.ts
@@ -4,7 +4,7 @@
  * Adds this instance's even share of the upstream's concurrency to the sum over upstreams, without
  * limiting any single upstream. Serves as a baseline in experiments.
  */
-export class ShareLimit extends ConcurrencyLimit {
+export class EvenShareLimit extends ConcurrencyLimit {
   #slots = 1;
 
   override get slots(): number {
--- a/packages/routing/src/TwoChoices/index.ts
+++ b/packages/routing/src/TwoChoices/index.ts
@@ -1,9 +1,9 @@
-import { estimatedLoad } from '../estimatedLoad/index.js';
-import { UpstreamChoice, type SelectionContext } from '../UpstreamChoice/index.js';
+import { estimateLoad } from '../estimatedLoad/index.js';
+import { UpstreamSelector, type SelectionContext } from '../UpstreamChoice/index.js';
 import type { Upstream } from '../types.js';
 
 /** Power of two choices: picks the less loaded of two candidates drawn at random. */
-export class TwoChoices extends UpstreamChoice {
+export class TwoChoices extends UpstreamSelector {
   override readonly name = 'twoChoices';
 
   override choose(
@@ -14,6 +14,6 @@
     const first = drawCandidate();
     const second = drawCandidate();
     if (first === undefined || second === undefined) return first ?? second;
-    return estimatedLoad(first) <= estimatedLoad(second) ? first : second;
+    return estimateLoad(first) <= estimateLoad(second) ? first : second;
   }
 }
--- a/packages/routing/src/UpstreamChoice/index.ts
+++ b/packages/routing/src/UpstreamChoice/index.ts
@@ -10,7 +10,7 @@
 }
 
 /** A load-balancing policy that chooses the upstream for each request. */
-export abstract class UpstreamChoice {
+export abstract class UpstreamSelector {
   /** Name of the policy in experiments and settings. */
   abstract readonly name: string;
 
@@ -26,7 +26,7 @@
    * Handles a prefix cache event of an engine. Events are hints: they arrive late and with gaps, and may
    * date from before a restart of the engine. Policies without prefix affinity ignore them.
    */
-  learnCacheEvent(upstream: Upstream, event: CacheEvent): void {
+  handleCacheEvent(upstream: Upstream, event: CacheEvent): void {
     void upstream;
     void event;
   }
--- a/packages/routing/src/UpstreamRegistry/index.ts
+++ b/packages/routing/src/UpstreamRegistry/index.ts
@@ -11,14 +11,14 @@
 import type { InstanceList, ListedInstance } from '@acaciacrank/store';
 import type { CacheEvent, LoadReport } from '@acaciacrank/upstreams';
 import { setMaxListeners } from 'node:events';
-import { SentLog } from '../_lib/SentLog/index.js';
+import { InFlightDelta } from '../_lib/SentLog/index.js';
 import { ServicePool } from '../_lib/ServicePool/index.js';
 import { AimdLimit } from '../AimdLimit/index.js';
 import { chooseSubset, type ChooseSubsetOptions } from '../chooseSubset/index.js';
 import type { ConcurrencyLimit } from '../ConcurrencyLimit/index.js';
 import { OutlierDetector, type OutlierDetectorOptions } from '../OutlierDetector/index.js';
 import { UpstreamHealth, type UnansweredRequest } from '../UpstreamHealth/index.js';
-import { UpstreamUse } from '../UpstreamUse/index.js';
+import { InFlightRequest } from '../UpstreamUse/index.js';
 import type { Upstream, UpstreamClients } from '../types.js';
 
 /** Options of {@link UpstreamRegistry}. */
@@ -29,7 +29,7 @@
   /** The instance that owns the registry, which uses a subset of the upstreams; uses all if omitted. */
   instanceId?: InstanceId;
   /** Returns the number of instances that share the upstreams; by default, the live ones in the list. */
-  usableInstances?: () => number;
+  instanceCount?: () => number;
   /** Size of the subset of upstreams that an instance uses. */
   subset?: ChooseSubsetOptions;
   /** Interval at which the list is read, in milliseconds; 1000 by default. */
@@ -50,7 +50,7 @@
   listed: ListedInstance;
   readonly upstream: Upstream;
   /** Requests started minus ended since the last report was measured. */
-  readonly sent: SentLog;
+  readonly sent: InFlightDelta;
   /** Stops the polling; aborted when the entry is removed. */
   readonly stop: AbortController;
   polling: Promise<void>;
@@ -136,7 +136,7 @@
   }
 
   /** Returns the limit for this instance's in-flight requests at all upstreams of a service combined. */
-  places(service: ServiceName): number {
+  slots(service: ServiceName): number {
     return this.#pools.get(service)?.slots ?? 0;
   }
 
@@ -144,7 +144,7 @@
    * Returns the average time from sending a request to its first token, in milliseconds; 0 without
    * samples.
    */
-  usualFirstTokenMs(service: ServiceName, priority: number): number {
+  averageFirstTokenMs(service: ServiceName, priority: number): number {
     return this.#pools.get(service)?.averageFirstTokenMs(priority) ?? 0;
   }
 
@@ -156,7 +156,7 @@
    * @returns a handle to report progress and failure, to be disposed of when the request has ended
    * @throws RouterError `internal` if the upstream does not come from this registry
    */
-  begin(upstream: Upstream, priority = unspecifiedPriority): UpstreamUse {
+  begin(upstream: Upstream, priority = unspecifiedPriority): InFlightRequest {
     const entry = this.#entryByUpstream.get(upstream);
     if (entry === undefined)
       throw new RouterError('internal', `upstream ${upstream.id} is not in the registry`);
@@ -229,7 +229,7 @@
     return {
       listed,
       upstream,
-      sent: new SentLog(),
+      sent: new InFlightDelta(),
       stop: new AbortController(),
       polling: Promise.resolve(),
       lastCacheSequence: 0,
@@ -348,7 +348,7 @@
       report,
       measuredAtMs,
       receivedAtMs: this.#options.clock.wallMs(),
-      instances: Math.max(1, this.#options.usableInstances?.() ?? this.#liveInstances.length),
+      instances: Math.max(1, this.#options.instanceCount?.() ?? this.#liveInstances.length),
     };
     upstream.limit.applyReport(received, upstream.inFlightRequests);
     const ownRequestsAtReport = upstream.inFlightRequests - sent.net;
@@ -410,7 +410,7 @@
 ]);
 
 /** An in-flight request that updates the statistics of its upstream. */
-class RegistryRequest extends UpstreamUse {
+class RegistryRequest extends InFlightRequest {
   readonly #entry: Entry;
   readonly #priority: number;
   readonly #context: RegistryRequestContext;
--- a/packages/routing/src/UpstreamRegistry/test.ts
+++ b/packages/routing/src/UpstreamRegistry/test.ts
@@ -335,10 +335,10 @@
   const setup = await startRegistry(['e1', 'e2', 'e3']);
   const { clock, registry } = setup;
   await clock.advance(600);
-  const slotsBefore = registry.places(service);
+  const slotsBefore = registry.slots(service);
   const failing = findUpstream(registry, 'e1');
   registry.begin(failing, 1);
   registry.begin(failing, 1);
   for (let count = 0; count < 3; count += 1) await send(setup, failing, 'upstreamFailed', 1);
-  t.is(registry.places(service), slotsBefore - failing.limit.slots + 2);
+  t.is(registry.slots(service), slotsBefore - failing.limit.slots + 2);
 });
--- a/packages/routing/src/UpstreamUse/index.ts
+++ b/packages/routing/src/UpstreamUse/index.ts
@@ -1,7 +1,7 @@
 import type { RouterError } from '@acaciacrank/base';
 
 /** An in-flight request at an upstream; must be disposed of when the request has ended. */
-export abstract class UpstreamUse implements Disposable {
+export abstract class InFlightRequest implements Disposable {
   /** Records progress: a token of an engine, or the complete response of another service. */
   abstract progress(): void;
 
--- a/packages/routing/src/_lib/SentLog/index.ts
+++ b/packages/routing/src/_lib/SentLog/index.ts
@@ -12,7 +12,7 @@
 const maxRetainedChanges = 2_048;
 
 /** Counts started minus ended requests since the last report was measured. */
-export class SentLog {
+export class InFlightDelta {
   #changes: Change[] = [];
   #firstIndex = 0;
   #net = 0;
--- a/packages/routing/src/estimatedLoad/index.ts
+++ b/packages/routing/src/estimatedLoad/index.ts
@@ -11,10 +11,10 @@
  * @returns 1 if the upstream runs as many requests as it can
  *
  * @example
- * estimatedLoad(upstream);
+ * estimateLoad(upstream);
  * //=> 0.75
  */
-export function estimatedLoad(upstream: Upstream): number {
+export function estimateLoad(upstream: Upstream): number {
   const { report, inFlightRequests, sentSinceReport, lagCorrection } = upstream;
   if (report === undefined) return inFlightRequests;
   const reportedRequests = report.runningRequests + report.waitingRequests;
--- a/packages/routing/src/placePrompt/index.ts
+++ b/packages/routing/src/placePrompt/index.ts
@@ -1,7 +1,7 @@
 import { rankByKey, type Identified } from '../rankByKey/index.js';
 
 /** The load of an engine as estimated by this instance. */
-export interface EngineWork extends Identified {
+export interface EngineLoad extends Identified {
   /** Estimated prefill time of the prompts already queued at the engine, in milliseconds. */
   readonly backlogMs: number;
   /** Number of streams known to be running at the engine. */
@@ -13,7 +13,7 @@
   /** Identifies the last prompt part that is shared with other prompts. */
   readonly key: string;
   /** Time to make the shared parts available at an engine that does not hold them, in milliseconds. */
-  readonly sharedMs: number;
+  readonly sharedPartsMs: number;
   /** Ids of the engines known to have the shared parts in their prefix cache. */
   readonly holders: ReadonlySet<string>;
 }
@@ -50,10 +50,10 @@
  * @returns the placement; undefined without candidates
  *
  * @example
- * placePrompt({ key: '5c1e07a2', sharedMs: 90, holders: new Set() }, engines)?.engine;
+ * placePrompt({ key: '5c1e07a2', sharedPartsMs: 90, holders: new Set() }, engines)?.engine;
  */
-export function placePrompt<Engine extends EngineWork>(
-  { key, sharedMs, holders }: PromptToPlace,
+export function placePrompt<Engine extends EngineLoad>(
+  { key, sharedPartsMs, holders }: PromptToPlace,
   engines: readonly Engine[],
 ): PromptPlacement<Engine> | undefined {
   const ranked = rankByKey(key, engines);
@@ -63,7 +63,7 @@
   let best: Engine | undefined;
   let bestCostMs = Infinity;
   ranked.forEach((engine, rank) => {
-    const acquireMs = assumedHolders.includes(engine) ? 0 : sharedMs;
+    const acquireMs = assumedHolders.includes(engine) ? 0 : sharedPartsMs;
     const costMs =
       engine.backlogMs + engine.running * runningStreamCostMs + acquireMs + rank * rankCostMs;
     if (costMs >= bestCostMs) return;
--- a/packages/routing/src/placePrompt/test.ts
+++ b/packages/routing/src/placePrompt/test.ts
@@ -1,12 +1,12 @@
 import test from 'ava';
-import { placePrompt, type EngineWork } from './index.js';
+import { placePrompt, type EngineLoad } from './index.js';
 
-function engine(id: string, backlogMs = 0, running = 0): EngineWork {
+function engine(id: string, backlogMs = 0, running = 0): EngineLoad {
   return { id, backlogMs, running };
 }
 
 const idle = Array.from({ length: 12 }, (_, index) => engine(`e${index}`));
-const prompt = { key: 'part', sharedMs: 150, holders: new Set<string>() };
+const prompt = { key: 'part', sharedPartsMs: 150, holders: new Set<string>() };
 
 test('prompts that share a part are placed at the same engine', (t) => {
   const first = placePrompt(prompt, idle)?.engine.id;
@@ -28,8 +28,8 @@
     if (holders.size > 0 && !holders.has(id)) t.true(holders.has(placement.holder?.id ?? ''));
     // No prompt waits longer than prefilling the part at another engine would take.
     const leastBacklogMs = Math.min(...engines.map((one) => one.backlogMs));
-    t.true(backlogMs <= leastBacklogMs + prompt.sharedMs + 60);
-    const readMs = 50 + (placement.holder === undefined ? 0 : prompt.sharedMs);
+    t.true(backlogMs <= leastBacklogMs + prompt.sharedPartsMs + 60);
+    const readMs = 50 + (placement.holder === undefined ? 0 : prompt.sharedPartsMs);
     backlogs.set(id, backlogMs + readMs);
     holders.add(id);
     // The first requests stay at the same engine.
--- a/packages/standins/src/LocalGrantNetwork/index.ts
+++ b/packages/standins/src/LocalGrantNetwork/index.ts
@@ -107,7 +107,7 @@
     await Promise.all(holders.map(giveBack));
   }
 
-  override async askTokens(
+  override async requestTokens(
     budget: BudgetRef,
     tokens: number,
   ): Promise<readonly TransferredTokens[]> {
--- a/packages/standins/src/LocalLoanNetwork/index.ts
+++ b/packages/standins/src/LocalLoanNetwork/index.ts
@@ -1,9 +1,9 @@
 import type { AccountId, Clock, InstanceId, Random } from '@acaciacrank/base';
 import {
   PrepaidPeers,
-  type LoanAnswer,
+  type LoanResponse,
   type LoanHandler,
-  type LoanQuestion,
+  type LoanRequest,
 } from '@acaciacrank/ledger';
 import { rankByKey } from '@acaciacrank/routing';
 
@@ -64,8 +64,8 @@
   async carry(
     from: InstanceId,
     to: InstanceId,
-    question: LoanQuestion,
-  ): Promise<LoanAnswer | undefined> {
+    question: LoanRequest,
+  ): Promise<LoanResponse | undefined> {
     const { clock, delayMs } = this.#options;
     this.questions += 1;
     await clock.sleep(delayMs);
@@ -106,7 +106,7 @@
     return rest.find((id) => id !== this.#instanceId);
   }
 
-  override ask(peer: InstanceId, question: LoanQuestion): Promise<LoanAnswer | undefined> {
+  override ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
     return this.#network.carry(this.#instanceId, peer, question);
   }
 
--- a/packages/standins/src/LocalUpstreamClients/index.ts
+++ b/packages/standins/src/LocalUpstreamClients/index.ts
@@ -12,7 +12,7 @@
   type LoadReport,
   type OrderOutcome,
   type OrderRequest,
-  type ServiceAnswer,
+  type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
 import type { StandinEngine } from '../StandinEngine/index.js';
@@ -79,7 +79,7 @@
     this.#service = service;
   }
 
-  override call(request: ServiceRequest): Promise<ServiceAnswer> {
+  override call(request: ServiceRequest): Promise<ServiceResponse> {
     return this.#service.call(request);
   }
 
--- a/packages/standins/src/MemoryFleet/test.ts
+++ b/packages/standins/src/MemoryFleet/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { ManualClock, type InstanceId } from '@acaciacrank/base';
-import { FleetQuestions } from '@acaciacrank/fleet';
+import { FleetRpc } from '@acaciacrank/fleet';
 import { MemoryFleet } from './index.js';
 
 const [a, b, c] = ['a', 'b', 'c'] as [InstanceId, InstanceId, InstanceId];
@@ -9,8 +9,8 @@
   const clock = new ManualClock();
   const network = new MemoryFleet({ clock, delayMs: 5 });
   const [first, second, third] = [a, b, c].map(
-    (id) => new FleetQuestions({ links: network.linksFor(id), clock }),
-  ) as [FleetQuestions, FleetQuestions, FleetQuestions];
+    (id) => new FleetRpc({ links: network.linksFor(id), clock }),
+  ) as [FleetRpc, FleetRpc, FleetRpc];
   second.answer('probe', ({ target }) => ({ kind: 'probe', isReachable: target === c }));
   return { clock, network, first, third };
 }
--- a/packages/standins/src/StandinService/index.ts
+++ b/packages/standins/src/StandinService/index.ts
@@ -1,5 +1,5 @@
 import { RouterError, type Clock, type RequestId, type UpstreamId } from '@acaciacrank/base';
-import type { LoadReport, ServiceAnswer, ServiceRequest } from '@acaciacrank/upstreams';
+import type { LoadReport, ServiceResponse, ServiceRequest } from '@acaciacrank/upstreams';
 
 /** Options of {@link StandinService}. */
 export interface StandinServiceOptions {
@@ -44,7 +44,7 @@
   }
 
   /** Runs one call; it has run from the moment that this is entered. */
-  async call(request: ServiceRequest): Promise<ServiceAnswer> {
+  async call(request: ServiceRequest): Promise<ServiceResponse> {
     if (this.#state === 'leaving') {
       throw new RouterError('upstreamUnavailable', `${this.id} is leaving`);
     }
--- a/packages/standins/src/_lib/FaultyUpstreams/index.ts
+++ b/packages/standins/src/_lib/FaultyUpstreams/index.ts
@@ -11,8 +11,8 @@
   type GenerateRequest,
   ServiceClient,
   type LoadReport,
-  type ProgressBound,
-  type ServiceAnswer,
+  type AdaptiveTimeout,
+  type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
 
@@ -51,7 +51,7 @@
   readonly #plan: FaultPlan;
   readonly #servicePlan: ServiceFaultPlan;
   /** Replaces what engines' gaps are judged by, for comparisons. */
-  makeTokenGaps: (() => ProgressBound) | undefined;
+  makeTokenGaps: (() => AdaptiveTimeout) | undefined;
   /** Whether engines say what they did for a cancelled generation. */
   saysUsage = true;
   /** Whether engines generate on beyond what they were asked for. */
@@ -79,7 +79,10 @@
   }
 
   /** Applies the plan to one call. */
-  async call(request: ServiceRequest, run: () => Promise<ServiceAnswer>): Promise<ServiceAnswer> {
+  async call(
+    request: ServiceRequest,
+    run: () => Promise<ServiceResponse>,
+  ): Promise<ServiceResponse> {
     this.serviceCalls += 1;
     const fault = this.#servicePlan(request, this.serviceCalls - 1);
     if (fault === 'refused') {
@@ -112,7 +115,7 @@
 }
 
 class FaultyEngineClient extends EngineClient {
-  override readonly tokenGaps: ProgressBound;
+  override readonly tokenGaps: AdaptiveTimeout;
   readonly #faults: FaultyUpstreams;
   readonly #engineId: string;
   readonly #inner: EngineClient;
@@ -171,7 +174,7 @@
     this.#inner = inner;
   }
 
-  override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+  override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
     return this.#faults.call(request, () => this.#inner.call(request, signal));
   }
 
--- a/packages/standins/src/_lib/MemberFleet/index.ts
+++ b/packages/standins/src/_lib/MemberFleet/index.ts
@@ -6,7 +6,7 @@
   type FailureDomainId,
   type InstanceId,
 } from '@acaciacrank/base';
-import { ConfigurationSpread, FleetQuestions, Membership, type Member } from '@acaciacrank/fleet';
+import { ConfigurationGossip, FleetRpc, Membership, type Member } from '@acaciacrank/fleet';
 import type { ListedInstance } from '@acaciacrank/store';
 import { MemoryFleet, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
 
@@ -20,7 +20,7 @@
   readonly givenUp: InstanceId[];
   /** Every version that this instance acted on, the one in force last. */
   readonly versions: number[];
-  readonly spread: ConfigurationSpread;
+  readonly spread: ConfigurationGossip;
 }
 
 const silent = createLog('members', { level: 'fatal' });
@@ -57,12 +57,12 @@
     const metrics = new Metrics();
     const random = createRandom(this.#seed * 100_003 + this.#lives);
     const { clock } = this;
-    const questions = new FleetQuestions({ links, clock });
+    const rpc = new FleetRpc({ links, clock });
     const { url, fleetUrl = '', failureDomain } = listedAs(id);
     const self = { id: instanceId, life, failureDomain };
     const versions = [1];
     const version = () => versions.at(-1) ?? 0;
-    const options = { clock, random, links, questions, metrics, log: silent, self };
+    const options = { clock, random, links, rpc, metrics, log: silent, self };
     const membership = new Membership({ ...options, configurationVersion: version });
     const offer = (manifest: unknown) => {
       const offered = (manifest as { version: number }).version;
@@ -74,12 +74,12 @@
     const padding = 'x'.repeat(this.#manifestBytes);
     const manifest = () => ({ version: version(), padding });
     const configuration = { version, offer, manifest, objectText: () => undefined };
-    const spread = new ConfigurationSpread({ ...options, membership, configuration });
+    const spread = new ConfigurationGossip({ ...options, membership, configuration });
     const givenUp: InstanceId[] = [];
     const node = { id: instanceId, membership, links, metrics, givenUp, versions, spread };
     membership.start({ url, fleetUrl });
-    membership.serve();
-    membership.list(this.list);
+    membership.declareLive();
+    membership.applyInstanceList(this.list);
     const dead = new Set<InstanceId>();
     void membership.members.changes.forEach((members) => {
       for (const { id: other, state } of members) {
--- a/packages/standins/src/_lib/fleetWorld/index.ts
+++ b/packages/standins/src/_lib/fleetWorld/index.ts
@@ -60,11 +60,17 @@
     const version = () => versions.at(-1) ?? 0;
     const offer = (offered: unknown) => versions.push(offered as number) > 0;
     const configuration = { version, manifest: version, offer };
-    const isStoreAway = () => store.link.isDown;
+    const isStoreUnavailable = () => store.link.isDown;
     const metrics = new Metrics();
     const shared = { store, links, clock, random: this.#random, log: silent, metrics };
     const listener = onPeerLive === undefined ? {} : { onPeerLive };
-    const fleet = new InstanceFleet({ ...shared, self, configuration, isStoreAway, ...listener });
+    const fleet = new InstanceFleet({
+      ...shared,
+      self,
+      configuration,
+      isStoreUnavailable,
+      ...listener,
+    });
     void fleet.run();
     if (isServing) fleet.serve();
     const node = { fleet, links, store, metrics, versions };
--- a/packages/standins/src/_lib/limitWorld/index.ts
+++ b/packages/standins/src/_lib/limitWorld/index.ts
@@ -9,13 +9,13 @@
   type ServiceName,
   type UpstreamId,
 } from '@acaciacrank/base';
-import { UpstreamLimitSpread, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
+import { UpstreamLimitGossip, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
 import { FleetWorld, type FleetNode } from '../fleetWorld/index.js';
 
 /** One run of an instance, with its upstreams. */
 interface Sender extends FleetNode {
   readonly table: UpstreamTable;
-  readonly spread: UpstreamLimitSpread;
+  readonly spread: UpstreamLimitGossip;
 }
 
 /** A simulated upstream: the limit that it sets and the requests that it received. */
@@ -69,7 +69,7 @@
       clock,
       limitSharing: {
         instanceId: id as InstanceId,
-        sharers: () => (this.#sharesLimits ? fleet.rateSharers : [id as InstanceId]),
+        sharers: () => (this.#sharesLimits ? fleet.rateSharingInstances : [id as InstanceId]),
       },
       onChange: ({ upstreamId, what, toldBy }) => {
         const upstream = table.get(upstreamId);
@@ -78,8 +78,8 @@
       },
     });
     table.replaceAll(this.upstreams.map(({ record }) => record));
-    const peers = () => fleet.answering.filter((other) => (other as string) !== id);
-    const spread: UpstreamLimitSpread = new UpstreamLimitSpread({
+    const peers = () => fleet.liveInstances.filter((other) => (other as string) !== id);
+    const spread: UpstreamLimitGossip = new UpstreamLimitGossip({
       links,
       clock,
       random: this.#random,
@@ -169,7 +169,7 @@
         chosen.end(send);
         const stated = { requestsPerSecond, sentMs: send.sentMs, receivedMs: clock.monotonicMs() };
         const change = chosen.limit.update(stated);
-        if (change !== undefined) table.tellLimitChange(chosen, change);
+        if (change !== undefined) table.reportLimitChange(chosen, change);
       });
     });
   }
--- a/packages/standins/src/_lib/prepaidWorld/index.ts
+++ b/packages/standins/src/_lib/prepaidWorld/index.ts
@@ -8,7 +8,7 @@
   type InstanceId,
   type Random,
 } from '@acaciacrank/base';
-import { PrepaidAccounts, prepaidPageKey, type Lifetime } from '@acaciacrank/ledger';
+import { PrepaidAccounts, prepaidPageKey, type ProcessRun } from '@acaciacrank/ledger';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import { LocalLoanNetwork } from '../../LocalLoanNetwork/index.js';
 import { UnreliableStore } from '../UnreliableStore/index.js';
@@ -24,7 +24,7 @@
   /** What the instance is cut off from. */
   readonly cut: { isAway: boolean; isUnnoticed: boolean };
   readonly run: Promise<void>;
-  readonly lifetime: Lifetime;
+  readonly processRun: ProcessRun;
   spentTokens: number;
 }
 
@@ -68,7 +68,7 @@
   const { clock, platform, random } = world;
   const cut = { isAway: false, isUnnoticed: false };
   runs += 1;
-  const lifetime: Lifetime = { instanceId: `i${instance}` as InstanceId, runId: `run${runs}` };
+  const processRun: ProcessRun = { instanceId: `i${instance}` as InstanceId, runId: `run${runs}` };
   const store = new UnreliableStore(new MemoryObjectStore(platform, clock), {
     clock,
     random,
@@ -77,16 +77,16 @@
     isAway: () => cut.isAway,
   });
   const ledger = new PrepaidAccounts({
-    lifetime,
+    processRun,
     store,
     clock,
-    peers: world.network.peersOf(lifetime.instanceId),
+    peers: world.network.peersOf(processRun.instanceId),
     onEvent: () => undefined,
     random,
-    isStoreAway: () => cut.isAway && !cut.isUnnoticed,
+    isStoreUnavailable: () => cut.isAway && !cut.isUnnoticed,
   });
   ledger.setLimits(new Map([[accountId, world.prepaidTokens]]), 1);
-  const holder = { ledger, cut, run: ledger.run(), lifetime, spentTokens: 0 };
+  const holder = { ledger, cut, run: ledger.run(), processRun, spentTokens: 0 };
   world.holders.push(holder);
   return holder;
 }
--- a/packages/standins/src/_lib/serveJson/index.ts
+++ b/packages/standins/src/_lib/serveJson/index.ts
@@ -1,7 +1,7 @@
 /**
  * What the stand-ins' small HTTP servers share.
  */
-import { describeError } from '@acaciacrank/base';
+import { toRouterError } from '@acaciacrank/base';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 
 /** Answers one request; what it throws is answered by its kind. */
@@ -12,7 +12,7 @@
   return createServer((request, response) => {
     const url = new URL(request.url ?? '/', 'http://standin');
     route(request, response, url).catch((thrown: unknown) => {
-      const error = describeError(thrown);
+      const error = toRouterError(thrown);
       if (response.headersSent) response.destroy();
       else sendJson(response, error.httpStatus, { kind: error.kind, message: error.message });
     });
--- a/packages/standins/src/benches/_lib/startLoopbackFleet/index.ts
+++ b/packages/standins/src/benches/_lib/startLoopbackFleet/index.ts
@@ -18,7 +18,7 @@
 import { createEngineServer } from '../../../createEngineServer/index.js';
 import { createStoreServer } from '@acaciacrank/platform';
 import {
-  listedKey,
+  instanceListKey,
   MemoryObjectStore,
   MemoryPlatform,
   type ListedInstance,
@@ -78,7 +78,7 @@
     failureDomain: 'bench' as FailureDomainId,
     state: 'live',
   };
-  platform.write(listedKey(engineEntry.id), engineEntry, { kind: 'none' });
+  platform.write(instanceListKey(engineEntry.id), engineEntry, { kind: 'none' });
   await acceptDocument(new MemoryObjectStore(platform, clock), clock, document);
   const running = owned.add(
     await runInstance({
--- a/packages/standins/src/benches/control/index.ts
+++ b/packages/standins/src/benches/control/index.ts
@@ -11,7 +11,7 @@
 } from '@acaciacrank/base';
 import { createStoreServer, PlatformObjectStore } from '@acaciacrank/platform';
 import {
-  listedKey,
+  instanceListKey,
   MemoryPlatform,
   StoredInstanceList,
   type ListedInstance,
@@ -48,7 +48,7 @@
   const platform = new MemoryPlatform(clock);
   for (let at = 0; at < instances + upstreams; at += 1) {
     const entry = entryOf(at, instances);
-    platform.write(listedKey(entry.id), entry, { kind: 'none' });
+    platform.write(instanceListKey(entry.id), entry, { kind: 'none' });
   }
   const server = createStoreServer(platform);
   await new Promise<void>((resolve) => {
--- a/packages/standins/src/benches/ledger/_lib/measureCalls/index.ts
+++ b/packages/standins/src/benches/ledger/_lib/measureCalls/index.ts
@@ -84,8 +84,8 @@
       peers: network.peersOf(instanceId),
       groupCommitMs,
       maxKeysPerPage: 1_000_000,
-      maxOpenPerPage: 1_000_000,
-      maxOpen: 1_000_000,
+      maxOpenRequestsPerPage: 1_000_000,
+      maxOpenRequests: 1_000_000,
     });
   });
 }
--- a/packages/standins/src/benches/ledger/_lib/measureCosts/index.ts
+++ b/packages/standins/src/benches/ledger/_lib/measureCosts/index.ts
@@ -41,7 +41,7 @@
     wantedTokens: 1_000,
     maxShare: 1,
     maxTotalShare: 1,
-    awayWeight: 1,
+    unreachableWeight: 1,
     reachable: undefined,
     expiresAtMs: 1_700_000_000_000,
   } as const;
@@ -89,8 +89,8 @@
     incarnation: '1',
     policy: new DemandGrantPolicy(),
     maxKeysPerPage: Infinity,
-    maxOpenPerPage: Infinity,
-    maxOpen: Infinity,
+    maxOpenRequestsPerPage: Infinity,
+    maxOpenRequests: Infinity,
   });
   const budget = benchBudget(0);
   const total = 400;
--- a/packages/standins/src/benches/routing/index.ts
+++ b/packages/standins/src/benches/routing/index.ts
@@ -58,7 +58,7 @@
   const random = createRandom(seed);
   const registry = await createRegistry(clock, count);
   const choice = new PrefixAffinity();
-  const queue = new AdmissionQueue({ clock, limit: () => registry.places(service) });
+  const queue = new AdmissionQueue({ clock, limit: () => registry.slots(service) });
   const signal = new AbortController().signal;
   for (const upstream of registry.all()) {
     for (let held = 0; held < heldPerUpstream; held += 1) registry.begin(upstream, 1);
--- a/packages/standins/src/bin.ts
+++ b/packages/standins/src/bin.ts
@@ -10,7 +10,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import { createStoreServer, PlatformObjectStore } from '@acaciacrank/platform';
-import { listedKey, MemoryPlatform, type ListedInstance } from '@acaciacrank/store';
+import { instanceListKey, MemoryPlatform, type ListedInstance } from '@acaciacrank/store';
 import { cac } from 'cac';
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -45,7 +45,7 @@
 
 async function register(platformUrl: string, entry: ListedInstance): Promise<void> {
   await using store = new PlatformObjectStore({ url: platformUrl, clock });
-  await store.write(listedKey(entry.id), entry, { kind: 'none' });
+  await store.write(instanceListKey(entry.id), entry, { kind: 'none' });
 }
 
 async function listUpstream(
--- a/packages/standins/src/experiments/membership/_lib/rollingReplacement/index.ts
+++ b/packages/standins/src/experiments/membership/_lib/rollingReplacement/index.ts
@@ -3,7 +3,7 @@
  */
 import {
   createRandom,
-  describeError,
+  toRouterError,
   digestText,
   RouterError,
   type BudgetId,
@@ -11,7 +11,7 @@
   type InstanceId,
   type Random,
 } from '@acaciacrank/base';
-import type { ChatCall, DirectoryAnswer } from '@acaciacrank/callers';
+import type { ChatCall, DirectoryResponse } from '@acaciacrank/callers';
 import {
   createLocalFleet,
   type LocalFleet,
@@ -65,7 +65,7 @@
   readonly #fleet: LocalFleet;
   readonly #account: string;
   readonly #near: string;
-  #answer: DirectoryAnswer | undefined;
+  #answer: DirectoryResponse | undefined;
   #askedAtMs = 0;
   #calls = 0;
 
@@ -106,7 +106,7 @@
     return `key-${this.#account}`;
   }
 
-  #directory(): DirectoryAnswer {
+  #directory(): DirectoryResponse {
     const nowMs = this.#fleet.clock.monotonicMs();
     if (this.#answer !== undefined && nowMs - this.#askedAtMs < this.#answer.keepMs) {
       return this.#answer;
@@ -143,7 +143,7 @@
     });
     tally.answered += 1;
   } catch (thrown) {
-    tally.errors.push(describeError(thrown).kind);
+    tally.errors.push(toRouterError(thrown).kind);
     if (frames === 0) tally.refused += 1;
     else tally.brokenOff += 1;
   }
--- a/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
+++ b/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
@@ -44,10 +44,10 @@
   const late = await fleet.addInstance('i3', 'fd3');
   await fleet.clock.advance(5_000);
   t.false(late.instance.isAccepting);
-  t.is(first.instance.directory.usableInstances, 2);
+  t.is(first.instance.directory.usableInstanceCount, 2);
   t.false(named().includes(late.id), named().join());
   isDown = false;
   await fleet.clock.advance(10_000);
   t.true(late.instance.isAccepting);
-  t.is(first.instance.directory.usableInstances, 3);
+  t.is(first.instance.directory.usableInstanceCount, 3);
 });
--- a/packages/standins/src/experiments/routing/_lib/SimulatedInstance/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/SimulatedInstance/index.ts
@@ -14,7 +14,7 @@
   AdmissionQueue,
   UpstreamRegistry,
   type Upstream,
-  type UpstreamChoice,
+  type UpstreamSelector,
   type UpstreamClients,
   type UpstreamRegistryOptions,
 } from '@acaciacrank/routing';
@@ -28,7 +28,7 @@
   random: Random;
   list: InstanceList;
   clients: UpstreamClients;
-  choice: UpstreamChoice;
+  choice: UpstreamSelector;
   /** How the policy sets the registry up. */
   registry: Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
 }
@@ -59,13 +59,14 @@
       instanceId: options.instanceId,
       ...options.registry,
       onCacheEvent: (upstream, event) => {
-        options.choice.learnCacheEvent(upstream, event);
+        options.choice.handleCacheEvent(upstream, event);
       },
     });
     this.#queue = new AdmissionQueue({
       clock,
-      limit: () => this.registry.places(engineService),
-      expectedServeMs: ({ priority }) => this.registry.usualFirstTokenMs(engineService, priority),
+      limit: () => this.registry.slots(engineService),
+      expectedFirstTokenMs: ({ priority }) =>
+        this.registry.averageFirstTokenMs(engineService, priority),
     });
   }
 
--- a/packages/standins/src/experiments/routing/_lib/policies/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/policies/index.ts
@@ -7,8 +7,8 @@
   LeastReportedLoad,
   PrefixAffinity,
   RoundRobin,
-  ShareLimit,
-  type UpstreamChoice,
+  EvenShareLimit,
+  type UpstreamSelector,
   type UpstreamRegistryOptions,
 } from '@acaciacrank/routing';
 
@@ -17,7 +17,7 @@
   readonly name: string;
   readonly isDefault: boolean;
   /** Makes the choice object of one instance. */
-  readonly createChoice: () => UpstreamChoice;
+  readonly createChoice: () => UpstreamSelector;
   /** Limits and ejection that go with it. */
   readonly registry: (random: Random) => Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
 }
@@ -27,7 +27,7 @@
 /** A choice alone: each instance has an even share of all places, and nothing is ejected. */
 function alone(name: string, createChoice: CreateChoice): ComparedPolicy {
   const registry = () => ({
-    createLimit: () => new ShareLimit(),
+    createLimit: () => new EvenShareLimit(),
     outliers: { maxEjectedFraction: 0 },
   });
   return { name, isDefault: false, createChoice, registry };
--- a/packages/standins/src/experiments/silence/index.ts
+++ b/packages/standins/src/experiments/silence/index.ts
@@ -2,7 +2,7 @@
  * Bounds on silence: what a fixed bound and the learnt one make of dead, silent and stalling streams.
  */
 import { createRandom } from '@acaciacrank/base';
-import { ProgressBound, type ProgressBoundOptions } from '@acaciacrank/upstreams';
+import { AdaptiveTimeout, type AdaptiveTimeoutOptions } from '@acaciacrank/upstreams';
 import {
   FaultyUpstreams,
   type ConnectionFault,
@@ -20,7 +20,7 @@
 /** How often an engine may begin to stall, how likely, how long and how much slower it is then. */
 const stall = { everyMs: 1_000, share: 0.15, longestMs: 3_000, factor: 60 };
 
-const bounds: Readonly<Record<string, ProgressBoundOptions>> = {
+const bounds: Readonly<Record<string, AdaptiveTimeoutOptions>> = {
   fixed500Ms: { floorMs: 500, ceilingMs: 500 },
   fixed2s: { floorMs: 2_000, ceilingMs: 2_000 },
   fixed10s: { floorMs: 10_000, ceilingMs: 10_000 },
@@ -64,7 +64,7 @@
     wrap: (parts) => {
       const clients = new FaultyUpstreams(parts.clients, planOf(entry, seed, faults));
       const options = bounds[bound];
-      if (options !== undefined) clients.makeTokenGaps = () => new ProgressBound(options);
+      if (options !== undefined) clients.makeTokenGaps = () => new AdaptiveTimeout(options);
       return { ...parts, clients };
     },
   });
--- a/packages/standins/src/failures/fleet/test.ts
+++ b/packages/standins/src/failures/fleet/test.ts
@@ -35,7 +35,7 @@
   world.nodes.get('b')?.fleet.leave();
   await world.clock.advance(1_500);
   t.false(world.isNamedByAny('b'));
-  t.false(world.nodes.get('a')?.fleet.answering.includes('b' as InstanceId));
+  t.false(world.nodes.get('a')?.fleet.liveInstances.includes('b' as InstanceId));
 });
 
 for (const [state, begin] of Object.entries(storeStates)) {
@@ -158,7 +158,7 @@
   world.network.partition(['a', 'b'], ['c', 'd', 'e']);
   await world.clock.advance(30_000);
   t.deepEqual(world.namedBy('a'), ['b']);
-  for (const id of ids) t.is(world.nodes.get(id)?.fleet.sharers, ids.length, id);
+  for (const id of ids) t.is(world.nodes.get(id)?.fleet.sharingInstanceCount, ids.length, id);
 });
 
 // Guards against the share of an instance that is gone for good lying unused.
@@ -166,13 +166,13 @@
   const world = await open(1);
   world.powerOff('c');
   await world.clock.advance(2_000);
-  t.is(world.nodes.get('a')?.fleet.sharers, ids.length);
+  t.is(world.nodes.get('a')?.fleet.sharingInstanceCount, ids.length);
   await world.clock.advance(16_000);
-  for (const id of world.nodes.keys()) t.is(world.nodes.get(id)?.fleet.sharers, 4, id);
+  for (const id of world.nodes.keys()) t.is(world.nodes.get(id)?.fleet.sharingInstanceCount, 4, id);
 });
 
 // Guards against an instance that takes the whole of what all share before it knows of the others.
 test('an instance that has not read the list yet takes no share', (t) => {
   const world = new FleetWorld(1, []);
-  t.is(world.start('a').fleet.sharers, Infinity);
+  t.is(world.start('a').fleet.sharingInstanceCount, Infinity);
 });
--- a/packages/standins/src/failures/ledgerBounds/test.ts
+++ b/packages/standins/src/failures/ledgerBounds/test.ts
@@ -58,7 +58,7 @@
 // would run out of memory and lose them all. New requests are refused as not run, the bills are
 // written once when the store is back.
 test('bills wait out a long outage in bounded memory and are written once', async (t) => {
-  const { clock, instance } = start({ maxOpenPerPage: 2, policy: new FixedGrantPolicy() });
+  const { clock, instance } = start({ maxOpenRequestsPerPage: 2, policy: new FixedGrantPolicy() });
   const { store, ledger } = instance('i1');
   const held = [
     await clock.runUntil(ledger.reserve(budget, 100)),
--- a/packages/standins/src/failures/orders/test.ts
+++ b/packages/standins/src/failures/orders/test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import { ManualClock, Metrics, type InstanceId, type UpstreamId } from '@acaciacrank/base';
 import {
-  createOrderKeeper,
-  OrderRate,
+  createOrderReconciler,
+  WeightLoadRateLimiter,
   StoreLease,
   type EngineTarget,
-  type OrderKeeper,
+  type OrderReconciler,
   type OrderOutcome,
   type OrderRequest,
 } from '@acaciacrank/upstreams';
@@ -38,7 +38,7 @@
 }
 
 interface Holder {
-  readonly keeper: OrderKeeper;
+  readonly keeper: OrderReconciler;
   readonly lease: StoreLease;
   readonly metrics: Metrics;
   readonly store: MemoryObjectStore;
@@ -76,7 +76,7 @@
       maxSkewMs: skewMs,
     });
     const metrics = new Metrics();
-    const rate = new OrderRate({ clock, loadsPerMinute: 60 });
+    const rate = new WeightLoadRateLimiter({ clock, loadsPerMinute: 60 });
     const clients = this.engines.map((engine) => new PausingClient(engine));
     const engines = () =>
       clients.map((engine, index) => ({
@@ -89,7 +89,13 @@
           ...changes,
         },
       }));
-    const keeper = createOrderKeeper(this.#checksFencing, { clock, metrics, lease, rate, engines });
+    const keeper = createOrderReconciler(this.#checksFencing, {
+      clock,
+      metrics,
+      lease,
+      rate,
+      engines,
+    });
     const holder: Holder = { keeper, lease, metrics, store, clients, version };
     return holder;
   }
--- a/packages/standins/src/failures/prepaid/test.ts
+++ b/packages/standins/src/failures/prepaid/test.ts
@@ -45,7 +45,7 @@
         holder.ledger[Symbol.dispose]();
         holders[index] = startHolder(world, index, faults);
       } else if (luck < 0.03) holder.cut.isAway = !holder.cut.isAway;
-      else if (luck < 0.05) toggle(world.alone, holder.lifetime.instanceId);
+      else if (luck < 0.05) toggle(world.alone, holder.processRun.instanceId);
       else await spend(world, holder, Math.ceil(200 + world.random() ** 4 * 20_000));
       t.true(world.spentTokens <= world.prepaidTokens);
       const most = world.holders.reduce((sum, held) => sum + mayStillSpend(held), 0);
@@ -141,8 +141,8 @@
     await world.clock.advance(100);
     await spend(world, used, 4_000);
   }
-  const home = world.network.homeOf(accountId, used.lifetime.instanceId);
-  for (const { ledger, lifetime } of others) {
+  const home = world.network.homeOf(accountId, used.processRun.instanceId);
+  for (const { ledger, processRun: lifetime } of others) {
     const limit = lifetime.instanceId === home ? 0.25 : 0.01;
     t.true(ledger.stockTokens(accountId) < limit * 5_000_000);
   }
@@ -178,7 +178,7 @@
   const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
   await world.clock.advance(3_000);
   for (const holder of holders) {
-    const { instanceId } = holder.lifetime;
+    const { instanceId } = holder.processRun;
     world.alone.add(instanceId);
     for (let request = 0; request < 5; request += 1) t.true(await spend(world, holder, 20_000));
     world.alone.delete(instanceId);
@@ -213,7 +213,7 @@
   const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
   await world.clock.advance(3_000);
   const home = world.network.homeOf(accountId, 'i0' as InstanceId);
-  const turnedAway = holders.find(({ lifetime }) => lifetime.instanceId === home);
+  const turnedAway = holders.find(({ processRun: lifetime }) => lifetime.instanceId === home);
   if (turnedAway === undefined) return;
   turnedAway.cut.isAway = true;
   let refused = 0;
--- a/packages/standins/src/failures/prepaidLosses/test.ts
+++ b/packages/standins/src/failures/prepaidLosses/test.ts
@@ -27,7 +27,7 @@
   const world = createWorld(22, 1_000_000);
   const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
   // Before they know each other, the first takes all that is left for a request that uses little.
-  for (const { lifetime } of holders) world.alone.add(lifetime.instanceId);
+  for (const { processRun: lifetime } of holders) world.alone.add(lifetime.instanceId);
   const [first] = holders;
   if (first === undefined) return;
   const { ledger } = first;
--- a/packages/standins/src/failures/services/test.ts
+++ b/packages/standins/src/failures/services/test.ts
@@ -2,7 +2,7 @@
 import { digestText, RouterError, type BudgetId, type ClassName } from '@acaciacrank/base';
 import type { ServiceCall } from '@acaciacrank/callers';
 import { FixedGrantPolicy, readBudget } from '@acaciacrank/ledger';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 import { FaultyUpstreams, type ServiceFaultPlan } from '../../_lib/FaultyUpstreams/index.js';
 import {
   createLocalFleet,
@@ -59,7 +59,7 @@
   };
 }
 
-function call(local: LocalInstance, serviceCall: ServiceCall): Promise<ServiceAnswer> {
+function call(local: LocalInstance, serviceCall: ServiceCall): Promise<ServiceResponse> {
   return local.instance.services.run(serviceCall, new AbortController().signal);
 }
 
--- a/packages/standins/src/failures/upstreamLimits/test.ts
+++ b/packages/standins/src/failures/upstreamLimits/test.ts
@@ -171,7 +171,7 @@
   const world = await open(1);
   const { links } = world.fleet.nodes.get('a') ?? t.fail();
   const kinds: string[] = [];
-  links.receive(({ kind }) => kinds.push(kind));
+  links.subscribe(({ kind }) => kinds.push(kind));
   await world.run(10_000, loadPerS);
   t.true(kinds.length > 0);
   t.false(kinds.includes('upstreamLimits'));
--- a/packages/standins/src/failures/upstreamSpread/test.ts
+++ b/packages/standins/src/failures/upstreamSpread/test.ts
@@ -10,8 +10,8 @@
   type ServiceName,
   type UpstreamId,
 } from '@acaciacrank/base';
-import { FleetQuestions } from '@acaciacrank/fleet';
-import { UpstreamSpread, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
+import { FleetRpc } from '@acaciacrank/fleet';
+import { PeerUpstreamSync, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
 import { MemoryFleet } from '../../MemoryFleet/index.js';
 
 const service = 'lm' as ServiceName;
@@ -36,16 +36,16 @@
   const random = createRandom(1);
   const nodes = ids.map((id) => {
     const links = network.linksFor(id);
-    const questions = new FleetQuestions({ links, clock });
+    const rpc = new FleetRpc({ links, clock });
     const table = new UpstreamTable({ clock, onChange: () => undefined });
     table.replaceAll([recordOf('u1', 'live'), recordOf('u2', 'live')]);
     const state = { isAway: false };
-    const spread = new UpstreamSpread({
-      questions,
+    const spread = new PeerUpstreamSync({
+      rpc,
       clock,
       random,
       table,
-      isStoreAway: () => state.isAway,
+      isStoreUnavailable: () => state.isAway,
       peers: () => ids.filter((other) => other !== id),
     });
     void spread.run();
@@ -61,7 +61,7 @@
 test('an instance that the store turns away learns from a peer which upstreams leave', async (t) => {
   const { clock, a, b, c } = open();
   a.state.isAway = true;
-  a.table.loseStore();
+  a.table.markStoreUnavailable();
   for (const { table } of [b, c]) table.put(recordOf('u1', 'leaving'));
   for (const { table } of [b, c]) table.put(recordOf('u3', 'live'));
   await clock.advance(1_500);
@@ -73,7 +73,7 @@
   const { clock, a, b, c } = open();
   for (const { state, table } of [a, b, c]) {
     state.isAway = true;
-    table.loseStore();
+    table.markStoreUnavailable();
   }
   b.table.put(recordOf('u1', 'leaving'));
   await clock.advance(10_000);
--- a/packages/standins/src/faults/StoryContext/index.ts
+++ b/packages/standins/src/faults/StoryContext/index.ts
@@ -1,8 +1,8 @@
-import { describeError, RouterError, type ClassName } from '@acaciacrank/base';
+import { toRouterError, RouterError, type ClassName } from '@acaciacrank/base';
 import type { ChatCall, ChatFinalFrame, ServiceCall } from '@acaciacrank/callers';
 import { parsePage, type PageBill } from '@acaciacrank/ledger';
 import type { ObjectStore } from '@acaciacrank/store';
-import type { ServiceAnswer } from '@acaciacrank/upstreams';
+import type { ServiceResponse } from '@acaciacrank/upstreams';
 import type { LocalFleet, LocalInstance } from '../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
 import { accountKey, budget } from '../document.js';
@@ -19,7 +19,7 @@
   endedMs: number;
   text: string;
   final: ChatFinalFrame | undefined;
-  answer: ServiceAnswer | undefined;
+  answer: ServiceResponse | undefined;
   error: RouterError | undefined;
   /** The caller hung up before the end. */
   hasHungUp: boolean;
@@ -184,7 +184,7 @@
       if (!patience.signal.aborted) outcome.isStuck = true;
     });
     const done = work().catch((thrown: unknown) => {
-      outcome.error = describeError(thrown);
+      outcome.error = toRouterError(thrown);
     });
     await Promise.race([done, crashed, stuck]);
     patience.abort();
--- a/packages/standins/src/faults/mutations/index.ts
+++ b/packages/standins/src/faults/mutations/index.ts
@@ -22,7 +22,7 @@
   type EngineFrame,
   type GenerateRequest,
   type LoadReport,
-  type ServiceAnswer,
+  type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
 import type { FaultKind, InvariantName } from '../types.js';
@@ -307,7 +307,7 @@
     this.#service = service;
   }
 
-  override async call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+  override async call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
     await this.#service.call(request, signal);
     throw new RouterError('upstreamUnavailable', 'the service cannot be reached');
   }
--- a/packages/standins/src/faults/stories/engineOrder/index.ts
+++ b/packages/standins/src/faults/stories/engineOrder/index.ts
@@ -1,5 +1,10 @@
 import { Metrics, type InstanceId, type UpstreamId } from '@acaciacrank/base';
-import { createOrderKeeper, OrderRate, StoreLease, type OrderKeeper } from '@acaciacrank/upstreams';
+import {
+  createOrderReconciler,
+  WeightLoadRateLimiter,
+  StoreLease,
+  type OrderReconciler,
+} from '@acaciacrank/upstreams';
 import { LocalEngineClient } from '../../../LocalUpstreamClients/index.js';
 import { StandinEngine } from '../../../StandinEngine/index.js';
 import type { StoryContext } from '../../StoryContext/index.js';
@@ -38,7 +43,7 @@
   engine: StandinEngine,
   name: string,
   version: string,
-): OrderKeeper {
+): OrderReconciler {
   const clock = new GatedClock(context.gate, name, context.fleet.clock);
   const lease = new StoreLease({
     store: context.operatorStore(name),
@@ -49,11 +54,11 @@
   });
   const client = new GatedEngine(context.gate, name, new LocalEngineClient(engine));
   const target = { models: [{ model: 'small', version }], adapters: [], role: 'both' as const };
-  const keeper = createOrderKeeper(true, {
+  const keeper = createOrderReconciler(true, {
     clock,
     metrics: new Metrics(),
     lease,
-    rate: new OrderRate({ clock, loadsPerMinute: 600 }),
+    rate: new WeightLoadRateLimiter({ clock, loadsPerMinute: 600 }),
     engines: () => [{ id: engine.id, engine: client, target }],
   });
   keeper.start();
--- a/packages/standins/src/faults/wrapInstance/index.ts
+++ b/packages/standins/src/faults/wrapInstance/index.ts
@@ -26,7 +26,7 @@
   type LoadReport,
   type OrderOutcome,
   type OrderRequest,
-  type ServiceAnswer,
+  type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
 import type { GatedCall, StepGate } from '../StepGate/index.js';
@@ -100,7 +100,7 @@
     this.#gate = gate;
     this.#actor = actor;
     this.#links = links;
-    links.receive((message, from) => {
+    links.subscribe((message, from) => {
       if (this.#isOpen(from)) this.deliver(message, from);
     });
   }
@@ -316,7 +316,7 @@
     this.#service = service;
   }
 
-  override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+  override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
     return this.#gate.call({
       actor: this.#actor,
       call: 'service.call',
--- a/packages/standins/src/operatorCommands/test.ts
+++ b/packages/standins/src/operatorCommands/test.ts
@@ -2,8 +2,8 @@
 import { ManualClock, RouterError, type FailureDomainId, type InstanceId } from '@acaciacrank/base';
 import {
   exitCodeOf,
-  HttpOperatorPorts,
-  OperatorPorts,
+  HttpOperatorPortClient,
+  OperatorPortClient,
   runBudget,
   runDiff,
   runDrain,
@@ -25,7 +25,7 @@
 import { MemoryInstanceList, MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 
 /** Ports of instances in this process; one that is not reachable does not answer. */
-class LocalPorts extends OperatorPorts {
+class LocalPorts extends OperatorPortClient {
   readonly watchers = new Map<string, ConfigurationWatcher>();
   readonly unreachable = new Set<string>();
   readonly drained: string[] = [];
@@ -58,7 +58,13 @@
   const store = new MemoryObjectStore(platform, clock);
   const ports = new LocalPorts();
   const list = new MemoryInstanceList(platform, store.link);
-  const context: CommandContext = { clock, store, list, ports, waitMs: 10_000 };
+  const context: CommandContext = {
+    clock,
+    store,
+    instanceList: list,
+    operatorPortClient: ports,
+    waitMs: 10_000,
+  };
   const start = async (id: string, environment: string) => {
     platform.setInstance({
       id: id as InstanceId,
@@ -230,9 +236,9 @@
     failureDomain: 'wellington' as FailureDomainId,
     state: 'live',
   } as const;
-  const noAddress = new HttpOperatorPorts({ clock, key: 'secret' });
+  const noAddress = new HttpOperatorPortClient({ clock, key: 'secret' });
   t.regex((await refused(t, noAddress.status(entry))).message, /does not say where/);
-  const noKey = new HttpOperatorPorts({ clock, key: undefined });
+  const noKey = new HttpOperatorPortClient({ clock, key: undefined });
   const listed = { ...entry, operatorsUrl: 'http://127.0.0.1:9' };
   t.regex((await refused(t, noKey.status(listed))).message, /no operators' key/);
 });
--- a/packages/store/src/ObjectFollower/index.ts
+++ b/packages/store/src/ObjectFollower/index.ts
@@ -1,4 +1,4 @@
-import { describeError, type Clock, type Random, type RouterError } from '@acaciacrank/base';
+import { toRouterError, type Clock, type Random, type RouterError } from '@acaciacrank/base';
 import type { ObjectStore } from '../ObjectStore/index.js';
 import type { StoreChange, StoreSnapshot } from '../types.js';
 
@@ -25,12 +25,12 @@
    * Delay of the next watch after a change, to batch further changes, in milliseconds; 0 by
    * default.
    */
-  gatherMs?: number;
+  batchDelayMs?: number;
   /**
    * Whether only the latest state matters. If so, after an outage a snapshot is read instead of
    * every change made in the meantime.
    */
-  isNewestEnough?: boolean;
+  isLatestStateSufficient?: boolean;
   random?: Random;
 }
 
@@ -51,7 +51,7 @@
   readonly #options: Required<
     Pick<
       ObjectFollowerOptions,
-      'retryMs' | 'gatherMs' | 'isNewestEnough' | 'random' | 'onLost' | 'onRegained'
+      'retryMs' | 'batchDelayMs' | 'isLatestStateSufficient' | 'random' | 'onLost' | 'onRegained'
     >
   > &
     ObjectFollowerOptions;
@@ -63,8 +63,8 @@
   constructor(options: ObjectFollowerOptions) {
     this.#options = {
       retryMs: defaultRetryMs,
-      gatherMs: 0,
-      isNewestEnough: false,
+      batchDelayMs: 0,
+      isLatestStateSufficient: false,
       random: Math.random,
       onLost: () => undefined,
       onRegained: () => undefined,
@@ -96,7 +96,7 @@
         await this.#readNext();
       } catch (thrown) {
         if (this.#stop.signal.aborted) return;
-        this.#handleFailure(describeError(thrown));
+        this.#handleFailure(toRouterError(thrown));
         await clock.sleep(retryMs * (0.5 + random()), this.#stop.signal);
       }
     }
@@ -132,13 +132,13 @@
    * each watch again at once make 33 calls for every change.
    */
   async #waitForMoreChanges(): Promise<void> {
-    const { clock, gatherMs } = this.#options;
-    if (gatherMs > 0) await clock.sleep(gatherMs, this.#stop.signal);
+    const { clock, batchDelayMs } = this.#options;
+    if (batchDelayMs > 0) await clock.sleep(batchDelayMs, this.#stop.signal);
   }
 
   #handleFailure(error: RouterError): void {
-    const { isNewestEnough } = this.#options;
-    if (isNewestEnough || error.kind === 'historyGone') this.#revision = undefined;
+    const { isLatestStateSufficient } = this.#options;
+    if (isLatestStateSufficient || error.kind === 'historyGone') this.#revision = undefined;
     if (this.#isLost) return;
     this.#isLost = true;
     this.#options.onLost(error);
--- a/packages/store/src/ObjectFollower/test.ts
+++ b/packages/store/src/ObjectFollower/test.ts
@@ -48,7 +48,10 @@
 
 function follow(
   steps: Step[],
-  { gatherMs = 0, isNewestEnough = false }: { gatherMs?: number; isNewestEnough?: boolean } = {},
+  {
+    gatherMs: batchDelayMs = 0,
+    isNewestEnough: isLatestStateSufficient = false,
+  }: { gatherMs?: number; isNewestEnough?: boolean } = {},
 ) {
   const clock = new ManualClock();
   const store = new ScriptedStore(steps);
@@ -56,8 +59,8 @@
   const follower = new ObjectFollower({
     store,
     clock,
-    gatherMs,
-    isNewestEnough,
+    batchDelayMs,
+    isLatestStateSufficient,
     prefix: 'a/',
     random: () => 0.5,
     onSnapshot: ({ objects }) => events.push(`all ${objects.map(({ key }) => key).join()}`),
--- a/packages/store/src/StoredInstanceList/index.ts
+++ b/packages/store/src/StoredInstanceList/index.ts
@@ -22,10 +22,10 @@
  * Returns the store key of an instance's entry in the list.
  *
  * @example
- * listedKey('entry-1');
+ * instanceListKey('entry-1');
  * //=> 'listed/entry-1'
  */
-export function listedKey(id: string): string {
+export function instanceListKey(id: string): string {
   return `${instanceListPrefix}${id}`;
 }
 
--- a/packages/upstreams/src/EngineClient/index.ts
+++ b/packages/upstreams/src/EngineClient/index.ts
@@ -1,5 +1,5 @@
 import { RouterError, type RequestId } from '@acaciacrank/base';
-import { ProgressBound } from '../ProgressBound/index.js';
+import { AdaptiveTimeout } from '../ProgressBound/index.js';
 import type {
   CacheEvent,
   EngineFrame,
@@ -14,9 +14,9 @@
 /** A client for one model engine. */
 export abstract class EngineClient {
   /** Adaptive timeout for the gaps between this engine's tokens. */
-  readonly tokenGaps = new ProgressBound({ floorMs: 1_000, ceilingMs: 10_000 });
+  readonly tokenGaps = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
   /** Adaptive timeout for this engine's first token, which queueing and long prompts delay. */
-  readonly firstTokens = new ProgressBound({ floorMs: 2_000, ceilingMs: 30_000 });
+  readonly firstTokens = new AdaptiveTimeout({ floorMs: 2_000, ceilingMs: 30_000 });
 
   /**
    * Starts a generation.
