--- a/packages/upstreams/src/HttpServiceClient/index.ts
+++ b/packages/upstreams/src/HttpServiceClient/index.ts
@@ -5,7 +5,7 @@
 import { loadReportSchema } from '../_lib/loadReportSchema/index.js';
 import { isConnectFailure } from '../_lib/isConnectFailure/index.js';
 import { readJson } from '../_lib/readJson/index.js';
-import type { LoadReport, ServiceAnswer, ServiceRequest } from '../types.js';
+import type { LoadReport, ServiceResponse, ServiceRequest } from '../types.js';
 
 /** Options of {@link HttpServiceClient}. */
 export interface HttpServiceClientOptions {
@@ -29,7 +29,10 @@
     this.#pool = new ConnectionPool({ clock: options.clock, connections: maxConnections });
   }
 
-  override async call(serviceRequest: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer> {
+  override async call(
+    serviceRequest: ServiceRequest,
+    signal: AbortSignal,
+  ): Promise<ServiceResponse> {
     try {
       const answer = await this.#send(serviceRequest, signal);
       return {
@@ -85,7 +88,7 @@
   }
 }
 
-function definedHeaders(answer: Dispatcher.ResponseData): ServiceAnswer['headers'] {
+function definedHeaders(answer: Dispatcher.ResponseData): ServiceResponse['headers'] {
   const headers = Object.entries(answer.headers).filter(
     (entry): entry is [string, string | string[]] => entry[1] !== undefined,
   );
--- a/packages/upstreams/src/OrderKeeper/index.ts
+++ b/packages/upstreams/src/OrderKeeper/index.ts
@@ -6,27 +6,27 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import type { EngineClient } from '../EngineClient/index.js';
-import type { OrderRate } from '../OrderRate/index.js';
+import type { WeightLoadRateLimiter } from '../OrderRate/index.js';
 import { planOrders, type EngineTarget } from '../planOrders/index.js';
 import type { StoreLease } from '../StoreLease/index.js';
 import type { EngineOrder, OrderOutcome } from '../types.js';
 
 /** An engine and its desired state. */
-export interface KeptEngine {
+export interface ManagedEngine {
   readonly id: UpstreamId;
   readonly engine: EngineClient;
   readonly target: EngineTarget;
 }
 
-/** Options of {@link OrderKeeper}. */
-export interface OrderKeeperOptions {
+/** Options of {@link OrderReconciler}. */
+export interface OrderReconcilerOptions {
   clock: Clock;
   metrics: Metrics;
   lease: StoreLease;
   /** Limits model and adapter loads to the weight store's rate for the service. */
-  rate: OrderRate;
+  rate: WeightLoadRateLimiter;
   /** Returns the service's engines with their current desired state; called in each round. */
-  engines: () => readonly KeptEngine[];
+  engines: () => readonly ManagedEngine[];
   /** Timeout for one order or one state report, in milliseconds. */
   orderLimitMs?: number;
   /** Interval at which the lease is renewed and the engines are reconciled, in milliseconds. */
@@ -42,13 +42,13 @@
  * lease may still be used differs between engines that check the fencing token and engines that
  * ignore it.
  */
-export abstract class OrderKeeper implements AsyncDisposable {
-  protected readonly options: Required<OrderKeeperOptions>;
+export abstract class OrderReconciler implements AsyncDisposable {
+  protected readonly options: Required<OrderReconcilerOptions>;
   readonly #stop = new AbortController();
   #wasHolder = false;
   #loop: Promise<void> | undefined;
 
-  constructor(options: OrderKeeperOptions) {
+  constructor(options: OrderReconcilerOptions) {
     this.options = {
       orderLimitMs: 2 * millisecondsInSecond,
       roundIntervalMs: 5 * millisecondsInSecond,
@@ -100,7 +100,7 @@
     }
   }
 
-  async #reconcile({ engine, target }: KeptEngine): Promise<void> {
+  async #reconcile({ engine, target }: ManagedEngine): Promise<void> {
     const { clock, metrics, orderLimitMs } = this.options;
     const limit = { kind: 'upstreamFailed', what: 'reading the state of an engine' } as const;
     try {
@@ -143,7 +143,7 @@
 }
 
 /** For engines that reject an old fencing token: the lease may be used until it expires. */
-export class FencedOrderReconciler extends OrderKeeper {
+export class FencedOrderReconciler extends OrderReconciler {
   protected override canSendOrder(leaseRemainingMs: number): boolean {
     return leaseRemainingMs > 0;
   }
@@ -164,7 +164,7 @@
  * clock skew before its first order. An order that slips through because the process was paused
  * between the check and the send is corrected in the next round.
  */
-export class UnfencedOrderReconciler extends OrderKeeper {
+export class UnfencedOrderReconciler extends OrderReconciler {
   protected override canSendOrder(leaseRemainingMs: number): boolean {
     return leaseRemainingMs > this.options.orderLimitMs + unfencedMarginMs;
   }
@@ -181,13 +181,13 @@
  * @param options - the engines and the lease
  *
  * @example
- * const keeper = createOrderKeeper(service.checksFencing, options);
- * keeper.start();
+ * const reconciler = createOrderReconciler(service.checksFencing, options);
+ * reconciler.start();
  */
-export function createOrderKeeper(
+export function createOrderReconciler(
   checksFencing: boolean,
-  options: OrderKeeperOptions,
-): OrderKeeper {
+  options: OrderReconcilerOptions,
+): OrderReconciler {
   return checksFencing ? new FencedOrderReconciler(options) : new UnfencedOrderReconciler(options);
 }
 
--- a/packages/upstreams/src/OrderRate/index.ts
+++ b/packages/upstreams/src/OrderRate/index.ts
@@ -1,7 +1,7 @@
 import { millisecondsInMinute, type Clock } from '@acaciacrank/base';
 
-/** Options of {@link OrderRate}. */
-export interface OrderRateOptions {
+/** Options of {@link WeightLoadRateLimiter}. */
+export interface WeightLoadRateLimiterOptions {
   clock: Clock;
   /** Number of loads per minute that the weight store allows this service. */
   loadsPerMinute: number;
@@ -15,13 +15,13 @@
  * The bucket starts empty: a new lease holder does not know how many loads the previous one has
  * just ordered, and must not add its own burst to them.
  */
-export class OrderRate {
-  readonly #options: Required<OrderRateOptions>;
+export class WeightLoadRateLimiter {
+  readonly #options: Required<WeightLoadRateLimiterOptions>;
   #availableLoads = 0;
   #updatedMs: number;
   #pausedUntilMs = -Infinity;
 
-  constructor(options: OrderRateOptions) {
+  constructor(options: WeightLoadRateLimiterOptions) {
     this.#options = { maxBurst: 2, ...options };
     this.#updatedMs = options.clock.monotonicMs();
   }
--- a/packages/upstreams/src/ProgressBound/index.ts
+++ b/packages/upstreams/src/ProgressBound/index.ts
@@ -1,5 +1,5 @@
-/** Options of {@link ProgressBound}. */
-export interface ProgressBoundOptions {
+/** Options of {@link AdaptiveTimeout}. */
+export interface AdaptiveTimeoutOptions {
   /** Lower bound of the timeout, in milliseconds. */
   floorMs: number;
   /** Upper bound of the timeout, also used before the first observation, in milliseconds. */
@@ -26,16 +26,16 @@
  * caller of a fast one waiting on a dead connection.
  *
  * @example
- * const bound = new ProgressBound({ floorMs: 1_000, ceilingMs: 10_000 });
+ * const bound = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
  * bound.limitMs();
  * //=> 10000
  */
-export class ProgressBound {
-  readonly #options: ProgressBoundOptions;
+export class AdaptiveTimeout {
+  readonly #options: AdaptiveTimeoutOptions;
   #meanMs: number | undefined;
   #deviationMs = 0;
 
-  constructor(options: ProgressBoundOptions) {
+  constructor(options: AdaptiveTimeoutOptions) {
     this.#options = options;
   }
 
--- a/packages/upstreams/src/ServiceClient/index.ts
+++ b/packages/upstreams/src/ServiceClient/index.ts
@@ -1,10 +1,10 @@
-import { ProgressBound } from '../ProgressBound/index.js';
-import type { LoadReport, ServiceAnswer, ServiceRequest } from '../types.js';
+import { AdaptiveTimeout } from '../ProgressBound/index.js';
+import type { LoadReport, ServiceResponse, ServiceRequest } from '../types.js';
 
 /** A client for one plain service instance. */
 export abstract class ServiceClient {
   /** Adaptive timeout for this service's responses. */
-  readonly answerTimes = new ProgressBound({ floorMs: 1_000, ceilingMs: 15_000 });
+  readonly answerTimes = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 15_000 });
 
   /**
    * Makes one call.
@@ -14,7 +14,7 @@
    * @throws RouterError `upstreamUnavailable` if no byte of the call reached the service,
    * `outcomeUnknown` if it may have run
    */
-  abstract call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceAnswer>;
+  abstract call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse>;
 
   /** Reads the service's latest load report. */
   abstract readLoad(): Promise<LoadReport>;
--- a/packages/upstreams/src/StoreLease/index.ts
+++ b/packages/upstreams/src/StoreLease/index.ts
@@ -1,5 +1,5 @@
 import {
-  describeError,
+  toRouterError,
   millisecondsInSecond,
   type Clock,
   type InstanceId,
@@ -89,7 +89,7 @@
       const stored = await this.#options.store.read(this.#options.key);
       if (this.#mayWrite(stored)) await this.#write(stored, false);
     } catch (error) {
-      if (describeError(error).kind !== 'storeUnavailable') throw error;
+      if (toRouterError(error).kind !== 'storeUnavailable') throw error;
     }
     return this.remainingMs > 0;
   }
--- a/packages/upstreams/src/types.ts
+++ b/packages/upstreams/src/types.ts
@@ -91,7 +91,7 @@
 }
 
 /** The complete response of a plain service. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Uint8Array;
