--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -10,7 +10,7 @@
 export * from './DisposableStore/index.js';
 export * from './errorKinds/index.js';
 export * from './RouterError/index.js';
-export * from './describeError/index.js';
+export * from './toRouterError/index.js';
 export * from './readSettings/index.js';
 export * from './createLog/index.js';
 export * from './createLogStream/index.js';
--- a/packages/ctl/src/createContext/index.ts
+++ b/packages/ctl/src/createContext/index.ts
@@ -2,7 +2,7 @@
 import { PlatformObjectStore } from '@acaciacrank/platform';
 import { StoredInstanceList } from '@acaciacrank/store';
 import { readFileSync } from 'node:fs';
-import { HttpOperatorPortClient } from '../HttpOperatorPorts/index.js';
+import { HttpOperatorPortClient } from '../HttpOperatorPortClient/index.js';
 import type { CommandContext } from '../types.js';
 
 /** Environment variables that are used where the options are not given. */
--- a/packages/ctl/src/index.ts
+++ b/packages/ctl/src/index.ts
@@ -2,8 +2,8 @@
  * The commands of `acaciacrankctl`, the command-line tool for operators.
  */
 export type * from './types.js';
-export * from './OperatorPorts/index.js';
-export * from './HttpOperatorPorts/index.js';
+export * from './OperatorPortClient/index.js';
+export * from './HttpOperatorPortClient/index.js';
 export * from './queryInstances/index.js';
 export * from './createContext/index.js';
 export * from './exitCodes/index.js';
--- a/packages/ctl/src/types.ts
+++ b/packages/ctl/src/types.ts
@@ -3,7 +3,7 @@
  */
 import type { Clock } from '@acaciacrank/base';
 import type { InstanceList, ListedInstance, ObjectStore } from '@acaciacrank/store';
-import type { OperatorPortClient } from './OperatorPorts/index.js';
+import type { OperatorPortClient } from './OperatorPortClient/index.js';
 
 /** The services and settings that commands use. */
 export interface CommandContext {
--- a/packages/fleet/src/ConfigurationSpread/index.ts
+++ b/packages/fleet/src/ConfigurationGossip/index.ts
@@ -1,6 +1,6 @@
 import { RouterError, type Clock, type InstanceId, type Metrics } from '@acaciacrank/base';
 import type { FleetLinks } from '../FleetLinks/index.js';
-import type { FleetRpc } from '../FleetQuestions/index.js';
+import type { FleetRpc } from '../FleetRpc/index.js';
 import type { Membership } from '../Membership/index.js';
 import type { FleetMessage } from '../types.js';
 
--- a/packages/fleet/src/Membership/index.ts
+++ b/packages/fleet/src/Membership/index.ts
@@ -11,7 +11,7 @@
 } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
 import type { FleetLinks } from '../FleetLinks/index.js';
-import type { FleetRpc } from '../FleetQuestions/index.js';
+import type { FleetRpc } from '../FleetRpc/index.js';
 import { MemberTable, type Member, type MergeResult } from '../MemberTable/index.js';
 import { chooseMonitoredPeers } from '../_lib/chooseMonitoredPeers/index.js';
 import { RecordRateLimiter } from '../_lib/RecordRateLimiter/index.js';
--- a/packages/forwarding/src/ForwardHandler/index.ts
+++ b/packages/forwarding/src/ForwardHandler/index.ts
@@ -14,14 +14,14 @@
 import type { RetryShare } from '@acaciacrank/routing';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Dispatch, type DispatchDependencies } from '../_lib/Dispatch/index.js';
-import { PrefillTimeModels } from '../_lib/EngineModels/index.js';
+import { PrefillTimeModels } from '../_lib/PrefillTimeModels/index.js';
 import type { ForwardCall } from '../_lib/ForwardCall/index.js';
 import {
   callerStallTimeoutMs,
   maxBufferedBytes,
   tokenReserveTimeoutMs,
 } from '../_lib/limits/index.js';
-import { PromptPartLocations } from '../_lib/PartPlaces/index.js';
+import { PromptPartLocations } from '../_lib/PromptPartLocations/index.js';
 import { RequestTrace } from '../_lib/RequestTrace/index.js';
 import type { ForwardCodec } from '../ForwardCodec/index.js';
 import type { RouteTable } from '../RouteTable/index.js';
--- a/packages/forwarding/src/ForwardingInstance/index.ts
+++ b/packages/forwarding/src/ForwardingInstance/index.ts
@@ -27,12 +27,12 @@
 import type { ForwardCodec } from '../ForwardCodec/index.js';
 import { ForwardHandler } from '../ForwardHandler/index.js';
 import { InstanceFleet, type CallerInstance } from '../InstanceFleet/index.js';
-import { chooseDirectoryInstances } from '../_lib/chooseNamed/index.js';
+import { chooseDirectoryInstances } from '../_lib/chooseDirectoryInstances/index.js';
 import { DirectoryLog } from '../_lib/DirectoryLog/index.js';
-import { planShutdown } from '../_lib/planStop/index.js';
+import { planShutdown } from '../_lib/planShutdown/index.js';
 import { RouteTable } from '../RouteTable/index.js';
-import { UpstreamLimitGossip } from '../UpstreamLimitSpread/index.js';
-import { PeerUpstreamSync } from '../UpstreamSpread/index.js';
+import { UpstreamLimitGossip } from '../UpstreamLimitGossip/index.js';
+import { PeerUpstreamSync } from '../PeerUpstreamSync/index.js';
 import { UpstreamTable, type UpstreamChange } from '../UpstreamTable/index.js';
 
 /** Addresses and limits of a forwarding instance. */
--- a/packages/forwarding/src/_lib/pickUpstream/index.ts
+++ b/packages/forwarding/src/_lib/pickUpstream/index.ts
@@ -4,7 +4,7 @@
 import type { FailureDomainId, Random, UpstreamId } from '@acaciacrank/base';
 import { placePrompt, type PrefillTimeModel } from '@acaciacrank/routing';
 import type { EngineTraits, PromptPart } from '../../types.js';
-import type { PromptPartLocations } from '../PartPlaces/index.js';
+import type { PromptPartLocations } from '../PromptPartLocations/index.js';
 import type { PrefillEstimate, Upstream } from '../Upstream/index.js';
 
 /** Inputs of a selection. */
--- a/packages/ledger/src/PrepaidAccount/index.ts
+++ b/packages/ledger/src/PrepaidAccount/index.ts
@@ -6,8 +6,8 @@
   type Random,
 } from '@acaciacrank/base';
 import type { ObjectStore, StoredObject } from '@acaciacrank/store';
-import { UsageRate } from '../_lib/AccountPace/index.js';
-import { ExhaustionCache } from '../_lib/DryBelief/index.js';
+import { UsageRate } from '../_lib/UsageRate/index.js';
+import { ExhaustionCache } from '../_lib/ExhaustionCache/index.js';
 import { LoanBook } from '../_lib/LoanBook/index.js';
 import { StoredGrant } from '../_lib/StoredGrant/index.js';
 import {
--- a/packages/routing/src/LeastInFlight/index.ts
+++ b/packages/routing/src/LeastInFlight/index.ts
@@ -1,5 +1,5 @@
 import { minBy } from '../LeastReportedLoad/index.js';
-import { UpstreamSelector } from '../UpstreamChoice/index.js';
+import { UpstreamSelector } from '../UpstreamSelector/index.js';
 import type { Upstream } from '../types.js';
 
 /** Picks the candidate with the fewest in-flight requests of this instance. */
--- a/packages/routing/src/PrefixAffinity/index.ts
+++ b/packages/routing/src/PrefixAffinity/index.ts
@@ -1,6 +1,6 @@
 import type { CacheEvent } from '@acaciacrank/upstreams';
-import { estimateLoad } from '../estimatedLoad/index.js';
-import { UpstreamSelector, type SelectionContext } from '../UpstreamChoice/index.js';
+import { estimateLoad } from '../estimateLoad/index.js';
+import { UpstreamSelector, type SelectionContext } from '../UpstreamSelector/index.js';
 import type { Upstream } from '../types.js';
 
 /** Options of {@link PrefixAffinity}. */
--- a/packages/routing/src/PrefixAffinity/test.ts
+++ b/packages/routing/src/PrefixAffinity/test.ts
@@ -6,7 +6,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import type { Upstream } from '../types.js';
-import { EvenShareLimit } from '../ShareLimit/index.js';
+import { EvenShareLimit } from '../EvenShareLimit/index.js';
 import { UpstreamHealth } from '../UpstreamHealth/index.js';
 import { PrefixAffinity } from './index.js';
 
--- a/packages/routing/src/RoundRobin/index.ts
+++ b/packages/routing/src/RoundRobin/index.ts
@@ -1,4 +1,4 @@
-import { UpstreamSelector } from '../UpstreamChoice/index.js';
+import { UpstreamSelector } from '../UpstreamSelector/index.js';
 import type { Upstream } from '../types.js';
 
 /** Cycles through the candidates regardless of their load. Serves as a baseline in experiments. */
--- a/packages/routing/src/TwoChoices/index.ts
+++ b/packages/routing/src/TwoChoices/index.ts
@@ -1,5 +1,5 @@
-import { estimateLoad } from '../estimatedLoad/index.js';
-import { UpstreamSelector, type SelectionContext } from '../UpstreamChoice/index.js';
+import { estimateLoad } from '../estimateLoad/index.js';
+import { UpstreamSelector, type SelectionContext } from '../UpstreamSelector/index.js';
 import type { Upstream } from '../types.js';
 
 /** Power of two choices: picks the less loaded of two candidates drawn at random. */
--- a/packages/routing/src/UpstreamRegistry/index.ts
+++ b/packages/routing/src/UpstreamRegistry/index.ts
@@ -11,14 +11,14 @@
 import type { InstanceList, ListedInstance } from '@acaciacrank/store';
 import type { CacheEvent, LoadReport } from '@acaciacrank/upstreams';
 import { setMaxListeners } from 'node:events';
-import { InFlightDelta } from '../_lib/SentLog/index.js';
+import { InFlightDelta } from '../_lib/InFlightDelta/index.js';
 import { ServicePool } from '../_lib/ServicePool/index.js';
 import { AimdLimit } from '../AimdLimit/index.js';
 import { chooseSubset, type ChooseSubsetOptions } from '../chooseSubset/index.js';
 import type { ConcurrencyLimit } from '../ConcurrencyLimit/index.js';
 import { OutlierDetector, type OutlierDetectorOptions } from '../OutlierDetector/index.js';
 import { UpstreamHealth, type UnansweredRequest } from '../UpstreamHealth/index.js';
-import { InFlightRequest } from '../UpstreamUse/index.js';
+import { InFlightRequest } from '../InFlightRequest/index.js';
 import type { Upstream, UpstreamClients } from '../types.js';
 
 /** Options of {@link UpstreamRegistry}. */
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -2,13 +2,13 @@
  * Routing decisions: choice of upstream, admission order, concurrency and rate limits, health.
  */
 export * from './types.js';
-export * from './UpstreamChoice/index.js';
+export * from './UpstreamSelector/index.js';
 export * from './RoundRobin/index.js';
 export * from './LeastReportedLoad/index.js';
 export * from './LeastInFlight/index.js';
 export * from './TwoChoices/index.js';
 export * from './PrefixAffinity/index.js';
-export * from './estimatedLoad/index.js';
+export * from './estimateLoad/index.js';
 export * from './chooseSubset/index.js';
 export * from './UpstreamRegistry/index.js';
 export * from './AdmissionQueue/index.js';
@@ -16,14 +16,14 @@
 export * from './RetryBudget/index.js';
 export * from './ConcurrencyLimit/index.js';
 export * from './AimdLimit/index.js';
-export * from './ShareLimit/index.js';
+export * from './EvenShareLimit/index.js';
 export * from './UpstreamHealth/index.js';
-export * from './UpstreamUse/index.js';
+export * from './InFlightRequest/index.js';
 export * from './OutlierDetector/index.js';
 export * from './RetryShare/index.js';
 export * from './divideRate/index.js';
 export * from './RateShare/index.js';
 export * from './rankByKey/index.js';
-export * from './EngineModel/index.js';
-export * from './ForeignQueue/index.js';
+export * from './PrefillTimeModel/index.js';
+export * from './PeerBacklogEstimator/index.js';
 export * from './placePrompt/index.js';
--- a/packages/upstreams/src/EngineClient/index.ts
+++ b/packages/upstreams/src/EngineClient/index.ts
@@ -1,5 +1,5 @@
 import { RouterError, type RequestId } from '@acaciacrank/base';
-import { AdaptiveTimeout } from '../ProgressBound/index.js';
+import { AdaptiveTimeout } from '../AdaptiveTimeout/index.js';
 import type {
   CacheEvent,
   EngineFrame,
--- a/packages/upstreams/src/OrderKeeper/index.ts
+++ b/packages/upstreams/src/OrderReconciler/index.ts
@@ -6,7 +6,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import type { EngineClient } from '../EngineClient/index.js';
-import type { WeightLoadRateLimiter } from '../OrderRate/index.js';
+import type { WeightLoadRateLimiter } from '../WeightLoadRateLimiter/index.js';
 import { planOrders, type EngineTarget } from '../planOrders/index.js';
 import type { StoreLease } from '../StoreLease/index.js';
 import type { EngineOrder, OrderOutcome } from '../types.js';
--- a/packages/upstreams/src/ServiceClient/index.ts
+++ b/packages/upstreams/src/ServiceClient/index.ts
@@ -1,4 +1,4 @@
-import { AdaptiveTimeout } from '../ProgressBound/index.js';
+import { AdaptiveTimeout } from '../AdaptiveTimeout/index.js';
 import type { LoadReport, ServiceResponse, ServiceRequest } from '../types.js';
 
 /** A client for one plain service instance. */
