--- a/packages/soak/src/_lib/CallerLoad/index.ts
+++ b/packages/soak/src/_lib/CallerLoad/index.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@acaciacrank/base';
 import { Agent, request, type IncomingMessage } from 'node:http';
-import type { DeliberateBreak } from '../../types.js';
+import type { InjectedDefect } from '../../types.js';
 import type { CallOutcome, Observations } from '../Observations/index.js';
 import {
   accounts,
@@ -8,207 +8,218 @@
   requestKinds,
   timeoutMs,
   type RequestKind,
-} from '../soakDocument/index.js';
+} from '../buildSoakConfiguration/index.js';
 
-/** Options of {@link CallerLoad}. */
-export interface CallerLoadOptions {
+/** Options of {@link LoadGenerator}. */
+export interface LoadGeneratorOptions {
   readonly random: Random;
   readonly observations: Observations;
   /** Milliseconds from the start of the run. */
   readonly now: () => number;
-  /** Ports for callers and of the directory, one for each instance. */
-  readonly frontPorts: readonly number[];
+  /** Ports that serve callers, by instance index. */
+  readonly callerPorts: readonly number[];
+  /** Directory ports, by instance index. */
   readonly directoryPorts: readonly number[];
   readonly requestsPerSecond: number;
-  readonly deliberateBreak: DeliberateBreak | undefined;
+  readonly injectedDefect: InjectedDefect | undefined;
 }
 
-/** What came back for one request. */
-interface Answer {
+/** Response to one request. */
+interface CallResponse {
+  /** HTTP status; 0 if the request failed before the response headers. */
   readonly status: number;
   readonly body: string;
-  readonly seal: string;
-  readonly isWhole: boolean;
+  readonly responseSeal: string;
+  /** Whether the response was received to its end. */
+  readonly isComplete: boolean;
 }
 
-/** How long a caller keeps the directory's answer, in milliseconds. */
-const keepMs = 2_000;
-/** Statuses that promise that the request has not run and never will. */
-const refusals: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** The status of a request that the account cannot pay. */
-const spentStatus = 402;
-/** The share of answers and requests that a deliberate break spoils. */
-const brokenShare = 0.2;
+/** Interval at which callers refresh the list of instances from a directory. */
+const directoryRefreshMs = 2_000;
+/** Statuses by which an instance asserts that the request did not run and never will. */
+const refusalStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Status of a request that exceeds the remaining tokens of the client account. */
+const paymentRequiredStatus = 402;
+/** Share of calls to which the load generator applies an injected defect; `refuseAll` applies to all. */
+const defectShare = 0.2;
 const promptTokens = 400;
 const outputTokens = 60;
 
-/** Callers that keep their connections open and ask the directory where to connect. */
-export class CallerLoad {
-  readonly #options: CallerLoadOptions;
-  /** Connections are used until the other side ends them. */
+/** Simulates callers with persistent connections that find the instances through the directory. */
+export class LoadGenerator {
+  readonly #options: LoadGeneratorOptions;
+  /** Reuses each connection until the other side closes it. */
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 64 });
-  #known: readonly number[];
-  #count = 0;
+  #knownPorts: readonly number[];
+  #callCount = 0;
 
-  constructor(options: CallerLoadOptions) {
+  constructor(options: LoadGeneratorOptions) {
     this.#options = options;
-    this.#known = options.frontPorts;
+    this.#knownPorts = options.callerPorts;
   }
 
-  /** Sends requests until the signal is aborted; resolves when all have ended. */
+  /** Sends requests until the signal is aborted; resolves once all of them have ended. */
   async run(signal: AbortSignal): Promise<void> {
     const { requestsPerSecond, random } = this.#options;
-    const underWay = new Set<Promise<void>>();
-    const directory = setInterval(() => void this.#askDirectory(), keepMs);
+    const pendingCalls = new Set<Promise<void>>();
+    const refreshTimer = setInterval(() => void this.#refreshPorts(), directoryRefreshMs);
     while (!signal.aborted) {
-      const call = this.#call().finally(() => underWay.delete(call));
-      underWay.add(call);
-      const pauseMs = (2 * random() * 1_000) / requestsPerSecond;
-      await new Promise((resolve) => setTimeout(resolve, pauseMs));
+      const call = this.#makeCall().finally(() => pendingCalls.delete(call));
+      pendingCalls.add(call);
+      const intervalMs = (2 * random() * 1_000) / requestsPerSecond;
+      await new Promise((resolve) => setTimeout(resolve, intervalMs));
     }
-    clearInterval(directory);
-    await Promise.all(underWay);
+    clearInterval(refreshTimer);
+    await Promise.all(pendingCalls);
     this.#agent.destroy();
   }
 
-  async #askDirectory(): Promise<void> {
+  async #refreshPorts(): Promise<void> {
     const { directoryPorts, random } = this.#options;
     const port = directoryPorts[Math.floor(random() * directoryPorts.length)] ?? 0;
-    const answer = await this.#send({ port, path: '/resolution', method: 'GET', headers: {} }, '');
-    if (answer.status !== 200 || !answer.isWhole) return;
-    const { addresses } = JSON.parse(answer.body) as { addresses: string[] };
+    const response = await this.#send(
+      { port, path: '/resolution', method: 'GET', headers: {} },
+      '',
+    );
+    if (response.status !== 200 || !response.isComplete) return;
+    const { addresses } = JSON.parse(response.body) as { addresses: string[] };
     const ports = addresses.map((address) => Number(address.split(':')[1]));
-    if (ports.length > 0) this.#known = ports;
+    if (ports.length > 0) this.#knownPorts = ports;
   }
 
-  async #call(): Promise<void> {
-    const { random, observations, now, frontPorts, deliberateBreak } = this.#options;
+  async #makeCall(): Promise<void> {
+    const { random, observations, now, callerPorts, injectedDefect } = this.#options;
     const kind = requestKinds[Math.floor(random() * requestKinds.length)] as RequestKind;
     const account = accounts[Math.floor(random() * accounts.length)] ?? { name: '', key: '' };
-    const port = this.#known[Math.floor(random() * this.#known.length)] ?? 0;
-    this.#count += 1;
-    const id = `call-${this.#count}`;
+    const port = this.#knownPorts[Math.floor(random() * this.#knownPorts.length)] ?? 0;
+    this.#callCount += 1;
+    const id = `call-${this.#callCount}`;
     const headers = {
       host,
       'x-request-id': id,
       authorization: `Bearer ${account.key}`,
       'x-time-budget': String(timeoutMs),
-      ...(kind.isStream ? streamHeaders(random) : {}),
+      ...(kind.isStream ? buildStreamHeaders(random) : {}),
     };
-    const sentMs = now();
+    const sentAtMs = now();
     const target = { port, path: `${kind.path}x`, method: kind.method, headers };
-    const isBroken = deliberateBreak === 'refuseAll' || random() < brokenShare;
-    const answer = isBroken
-      ? await this.#sendBroken(target, kind, deliberateBreak)
+    const isDefective = injectedDefect === 'refuseAll' || random() < defectShare;
+    const response = isDefective
+      ? await this.#sendWithDefect(target, kind, injectedDefect)
       : await this.#send(target, 'a body');
-    const seen = judge(answer, id, kind);
+    const result = classifyResponse(response, id, kind);
     observations.end({
       id,
       path: kind.path,
       isRepeatable: kind.isRepeatable,
       account: account.name,
-      instance: frontPorts.indexOf(port),
-      sentMs,
-      endedMs: now(),
-      ...seen,
+      instance: callerPorts.indexOf(port),
+      sentAtMs,
+      endedAtMs: now(),
+      ...result,
     });
   }
 
-  /** One request as an instance with the deliberate break would have served it. */
-  async #sendBroken(
-    target: Target,
+  /** Sends one request and returns the response that an instance with the defect would give. */
+  async #sendWithDefect(
+    target: RequestTarget,
     kind: RequestKind,
-    deliberateBreak: DeliberateBreak | undefined,
-  ): Promise<Answer> {
-    const refused = { status: 503, body: '', seal: '', isWhole: true };
-    if (deliberateBreak === 'refuseAll') return refused;
-    const answer = await this.#send(target, 'a body');
-    if (deliberateBreak === 'runTwice') await this.#send(target, 'a body');
-    if (deliberateBreak === 'repeatArrivals' && kind.isRepeatable) {
+    injectedDefect: InjectedDefect | undefined,
+  ): Promise<CallResponse> {
+    const refused = { status: 503, body: '', responseSeal: '', isComplete: true };
+    if (injectedDefect === 'refuseAll') return refused;
+    const response = await this.#send(target, 'a body');
+    if (injectedDefect === 'runTwice') await this.#send(target, 'a body');
+    if (injectedDefect === 'repeatArrivals' && kind.isRepeatable) {
       for (let repeat = 0; repeat < 12; repeat += 1) await this.#send(target, 'a body');
     }
-    if (deliberateBreak === 'refuseAfterRun') return refused;
-    if (deliberateBreak === 'cutAnswer') return { ...answer, body: answer.body.slice(0, -6) };
-    return answer;
+    if (injectedDefect === 'refuseAfterRun') return refused;
+    if (injectedDefect === 'cutAnswer') return { ...response, body: response.body.slice(0, -6) };
+    return response;
   }
 
-  #send({ port, path, method, headers }: Target, body: string): Promise<Answer> {
+  #send({ port, path, method, headers }: RequestTarget, body: string): Promise<CallResponse> {
     return new Promise((resolve) => {
-      const cut = { status: 0, body: '', seal: '', isWhole: false };
+      const failedResponse = { status: 0, body: '', responseSeal: '', isComplete: false };
       const options = { host: '127.0.0.1', port, path, method, headers, agent: this.#agent };
-      const sent = request(options, (incoming) => {
-        collect(incoming, resolve);
+      const outgoing = request(options, (incoming) => {
+        readResponse(incoming, resolve);
       });
-      sent.setTimeout(2 * timeoutMs, () => sent.destroy());
-      sent.on('error', () => {
-        resolve(cut);
+      outgoing.setTimeout(2 * timeoutMs, () => outgoing.destroy());
+      outgoing.on('error', () => {
+        resolve(failedResponse);
       });
-      sent.end(method === 'POST' ? body : undefined);
+      outgoing.end(method === 'POST' ? body : undefined);
     });
   }
 }
 
-interface Target {
+interface RequestTarget {
   readonly port: number;
   readonly path: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
 }
 
-function streamHeaders(random: Random): Record<string, string> {
-  const part = Math.floor(random() * 8).toString(16);
+function buildStreamHeaders(random: Random): Record<string, string> {
+  const prefixDigit = Math.floor(random() * 8).toString(16);
   return {
     'x-model': 'm',
     'x-token-count': `${promptTokens},${outputTokens}`,
-    'x-prompt-prefix': `a${part}:300,b${part}:100`,
+    'x-prompt-prefix': `a${prefixDigit}:300,b${prefixDigit}:100`,
   };
 }
 
-function collect(incoming: IncomingMessage, resolve: (answer: Answer) => void): void {
+function readResponse(incoming: IncomingMessage, resolve: (response: CallResponse) => void): void {
   let body = '';
-  const done = (isWhole: boolean) => {
+  const finish = (isComplete: boolean) => {
     const status = incoming.statusCode ?? 0;
-    resolve({ status, body, seal: String(incoming.headers['x-response-seal'] ?? ''), isWhole });
+    resolve({
+      status,
+      body,
+      responseSeal: String(incoming.headers['x-response-seal'] ?? ''),
+      isComplete,
+    });
   };
   incoming.setEncoding('utf8');
   incoming.on('data', (text: string) => (body += text));
   incoming.on('end', () => {
-    done(incoming.complete);
+    finish(incoming.complete);
   });
   incoming.on('error', () => {
-    done(false);
+    finish(false);
   });
 }
 
-/** What an answer is worth, and what is wrong with it. */
-function judge(
-  answer: Answer,
+/** Determines the outcome of a call, and what is wrong with a successful response. */
+function classifyResponse(
+  response: CallResponse,
   id: string,
   kind: RequestKind,
-): { outcome: CallOutcome; service: string; fault: string; events: number } {
-  const events = kind.isStream ? (answer.body.match(/^id: /gm)?.length ?? 0) : 0;
-  const service = kind.isStream ? 'lm' : (answer.body.split(' ')[1] ?? '');
-  const common = { service, events, fault: '' };
-  if (!answer.isWhole) return { ...common, outcome: 'cut' };
-  if (refusals.has(answer.status)) return { ...common, outcome: 'refused' };
-  if (answer.status === spentStatus) return { ...common, outcome: 'spent' };
-  if (answer.status !== 200) return { ...common, outcome: 'failed' };
-  return { ...common, outcome: 'served', fault: faultOf(answer, id, kind) };
+): { outcome: CallOutcome; service: string; problem: string; events: number } {
+  const events = kind.isStream ? (response.body.match(/^id: /gm)?.length ?? 0) : 0;
+  const service = kind.isStream ? 'lm' : (response.body.split(' ')[1] ?? '');
+  const common = { service, events, problem: '' };
+  if (!response.isComplete) return { ...common, outcome: 'cut' };
+  if (refusalStatuses.has(response.status)) return { ...common, outcome: 'refused' };
+  if (response.status === paymentRequiredStatus) return { ...common, outcome: 'spent' };
+  if (response.status !== 200) return { ...common, outcome: 'failed' };
+  return { ...common, outcome: 'served', problem: findProblem(response, id, kind) };
 }
 
-function faultOf({ body, seal }: Answer, id: string, kind: RequestKind): string {
-  if (seal !== `seal.${id}`) return `a success with the signature ${seal}`;
+function findProblem({ body, responseSeal }: CallResponse, id: string, kind: RequestKind): string {
+  if (responseSeal !== `seal.${id}`)
+    return `successful response with x-response-seal "${responseSeal}"`;
   if (!kind.isStream) {
-    const isWhole = body.startsWith(`${id} `) && body.endsWith(' whole');
-    return isWhole ? '' : 'a success with another body';
+    const isExpected = body.startsWith(`${id} `) && body.endsWith(' whole');
+    return isExpected ? '' : 'successful response with an unexpected body';
   }
-  const pieces = [...body.matchAll(/^id: (\d+)\ndata: (\S+) (\d+) of (\d+)\n\n/gm)];
-  const isInTurn = pieces.every(
-    ([, number, of, place], at) => of === id && Number(number) === at + 1 && number === place,
+  const streamEvents = [...body.matchAll(/^id: (\d+)\ndata: (\S+) (\d+) of (\d+)\n\n/gm)];
+  const isInOrder = streamEvents.every(
+    ([, number, callId, position], index) =>
+      callId === id && Number(number) === index + 1 && number === position,
   );
-  const last = pieces.at(-1);
-  if (!isInTurn) return 'a stream with a piece missing, doubled or of another request';
-  return last !== undefined && last[3] === last[4]
-    ? ''
-    : 'a stream that ends before its last piece';
+  const last = streamEvents.at(-1);
+  if (!isInOrder) return 'stream with a missing or duplicate event, or an event of another request';
+  return last !== undefined && last[3] === last[4] ? '' : 'stream that ended before its last event';
 }
--- a/packages/soak/src/_lib/DirectoryWatch/index.ts
+++ b/packages/soak/src/_lib/DirectoryWatch/index.ts
@@ -1,71 +1,77 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { DeliberateBreak } from '../../types.js';
+import type { InjectedDefect } from '../../types.js';
 import type { InstancePorts } from '../InstanceProcess/index.js';
-import type { InstanceLook, NamingCheck } from '../NamingCheck/index.js';
+import type { DirectoryCheck, InstancePoll } from '../NamingCheck/index.js';
 
-/** Options of {@link DirectoryWatch}. */
-export interface DirectoryWatchOptions {
+/** Options of {@link DirectoryPoller}. */
+export interface DirectoryPollerOptions {
   readonly instances: readonly InstancePorts[];
-  readonly check: NamingCheck;
-  readonly deliberateBreak: DeliberateBreak | undefined;
+  readonly check: DirectoryCheck;
+  readonly injectedDefect: InjectedDefect | undefined;
 }
 
-/** How often each instance is looked at, in milliseconds. */
-const lookMs = 300;
-/** How long an answer is waited for, in milliseconds. */
-const answerMs = 1_000;
+/** Interval at which each instance is polled. */
+const pollIntervalMs = 300;
+const responseTimeoutMs = 1_000;
 
-/** Looks at the readiness and the directory of each instance, as the platform and callers do. */
-export class DirectoryWatch {
-  readonly #options: DirectoryWatchOptions;
+/** Polls readiness and directory of each instance, as the platform and callers do. */
+export class DirectoryPoller {
+  readonly #options: DirectoryPollerOptions;
 
-  constructor(options: DirectoryWatchOptions) {
+  constructor(options: DirectoryPollerOptions) {
     this.#options = options;
   }
 
-  /** Looks until the signal is aborted. */
+  /** Polls until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { instances, check } = this.#options;
     while (!signal.aborted) {
-      const looks = await Promise.all(instances.map((ports, index) => this.#look(ports, index)));
-      check.take(looks);
-      await sleep(lookMs);
+      const polls = await Promise.all(instances.map((ports, index) => this.#poll(ports, index)));
+      check.addPolls(polls);
+      await sleep(pollIntervalMs);
     }
   }
 
-  async #look({ ready, directory }: InstancePorts, instance: number): Promise<InstanceLook> {
+  async #poll({ ready, directory }: InstancePorts, instance: number): Promise<InstancePoll> {
     const [readiness, resolution] = await Promise.all([
-      ask(`http://127.0.0.1:${ready}/readiness`),
-      ask(`http://127.0.0.1:${directory}/resolution`),
+      fetchText(`http://127.0.0.1:${ready}/readiness`),
+      fetchText(`http://127.0.0.1:${directory}/resolution`),
     ]);
     const isReady = readiness !== undefined;
-    return { instance, isReady, named: this.#broken(this.#namedIn(resolution), instance) };
+    return {
+      instance,
+      isReady,
+      named: this.#applyDefect(this.#parseResolution(resolution), instance),
+    };
   }
 
-  #namedIn(answer: string | undefined): number[] | undefined {
-    if (answer === undefined) return undefined;
-    const { addresses } = JSON.parse(answer) as { addresses: string[] };
-    const named = addresses.map((address) => Number(address.split(':')[1]));
-    return named.map((port) => this.#options.instances.findIndex(({ front }) => front === port));
+  /** Returns the indexes of the listed instances; undefined without a response. */
+  #parseResolution(body: string | undefined): number[] | undefined {
+    if (body === undefined) return undefined;
+    const { addresses } = JSON.parse(body) as { addresses: string[] };
+    const ports = addresses.map((address) => Number(address.split(':')[1]));
+    return ports.map((port) => this.#options.instances.findIndex(({ front }) => front === port));
   }
 
-  /** An answer as an instance with the deliberate break would have given it. */
-  #broken(named: number[] | undefined, asked: number): number[] | undefined {
-    const { deliberateBreak, instances } = this.#options;
+  /** Turns a directory response into the one that an instance with the defect would give. */
+  #applyDefect(named: number[] | undefined, polledInstance: number): number[] | undefined {
+    const { injectedDefect, instances } = this.#options;
     if (named === undefined) return undefined;
-    if (deliberateBreak === 'nameGone') return [...instances.keys()];
-    if (deliberateBreak === 'hideLive') return named.filter((instance) => instance === asked);
+    if (injectedDefect === 'nameGone') return [...instances.keys()];
+    if (injectedDefect === 'hideLive')
+      return named.filter((instance) => instance === polledInstance);
     return named;
   }
 }
 
-async function ask(url: string): Promise<string | undefined> {
+/** Returns the body of a successful response; undefined otherwise. */
+async function fetchText(url: string): Promise<string | undefined> {
   try {
-    const answer = await fetch(url, { signal: AbortSignal.timeout(answerMs) });
-    const text = await answer.text();
-    return answer.ok ? text : undefined;
+    const response = await fetch(url, { signal: AbortSignal.timeout(responseTimeoutMs) });
+    const text = await response.text();
+    return response.ok ? text : undefined;
   } catch {
-    // Whoever does not answer is neither ready nor a directory now.
+    // An instance that does not answer counts as not ready and without a directory.
     return undefined;
   }
 }
--- a/packages/soak/src/_lib/FaultInjector/index.ts
+++ b/packages/soak/src/_lib/FaultInjector/index.ts
@@ -1,143 +1,144 @@
-import type { DeliberateBreak, PlannedFault } from '../../types.js';
+import type { InjectedDefect, PlannedFault } from '../../types.js';
+import type { FakeUpstream } from '../FakeUpstream/index.js';
 import { stopLimitMs } from '../InstanceProcess/index.js';
 import type { Observations } from '../Observations/index.js';
-import type { SoakScene } from '../SoakScene/index.js';
-import type { UpstreamStandin } from '../UpstreamStandin/index.js';
+import type { SoakEnvironment } from '../SoakEnvironment/index.js';
 
-/** Rate limits that upstreams set, in requests per second. */
+/** Rate limits that the fault `limitUpstream` chooses from, in requests per second. */
 const limitsPerS = [1.5, 0.5, 1, 3, 2.2] as const;
 
 /** Options of {@link FaultInjector}. */
 export interface FaultInjectorOptions {
-  readonly scene: SoakScene;
+  readonly environment: SoakEnvironment;
   readonly observations: Observations;
-  readonly deliberateBreak: DeliberateBreak | undefined;
+  readonly injectedDefect: InjectedDefect | undefined;
 }
 
-/** Brings planned faults about, and tells the checks that it does. */
+/** Injects planned faults and reports them to the checks. */
 export class FaultInjector {
-  /** How many faults of each kind were injected. */
+  /** Number of injected faults by kind. */
   readonly counts: Record<string, number> = {};
   readonly #options: FaultInjectorOptions;
-  /** The fault that last set each upstream's limit. */
-  readonly #limitFaults = new Map<UpstreamStandin, PlannedFault>();
+  /** The fault that last set the limit of each upstream. */
+  readonly #latestLimitFaults = new Map<FakeUpstream, PlannedFault>();
 
   constructor(options: FaultInjectorOptions) {
     this.#options = options;
   }
 
-  /** Injects one fault; returns when it has begun. */
+  /** Injects one fault; resolves once it has started. */
   async inject(fault: PlannedFault): Promise<void> {
-    const { scene, observations, deliberateBreak } = this.#options;
+    const { environment, observations, injectedDefect } = this.#options;
     this.counts[fault.kind] = (this.counts[fault.kind] ?? 0) + 1;
-    const index = fault.target % scene.instances.length;
-    const instance = scene.instances[index];
-    const upstream = scene.upstreams[fault.target % scene.upstreams.length];
+    const index = fault.target % environment.instances.length;
+    const instance = environment.instances[index];
+    const upstream = environment.upstreams[fault.target % environment.upstreams.length];
     if (instance === undefined || upstream === undefined) return;
-    const { process, storeProxy: proxy } = instance;
+    const { process, storeProxy } = instance;
     switch (fault.kind) {
       case 'kill':
-        observations.disturb(0);
+        observations.noteDisturbance(0);
         process.signal('SIGKILL');
         return;
       case 'pause':
-        observations.disturb(fault.forMs);
+        observations.noteDisturbance(fault.durationMs);
         process.signal('SIGSTOP');
-        setTimeout(() => process.signal('SIGCONT'), fault.forMs);
+        setTimeout(() => process.signal('SIGCONT'), fault.durationMs);
         return;
       case 'powerOff':
-        observations.disturb(fault.forMs);
-        observations.naming.powerOff(index);
-        process.powerOff(fault.forMs);
+        observations.noteDisturbance(fault.durationMs);
+        observations.directoryCheck.powerOff(index);
+        process.powerOff(fault.durationMs);
         return;
       case 'stop':
-        observations.beginStop(index, stopLimitMs);
-        if (deliberateBreak === 'killForStop') process.signal('SIGKILL');
+        observations.noteStop(index, stopLimitMs);
+        if (injectedDefect === 'killForStop') process.signal('SIGKILL');
         else process.stop();
         return;
       case 'reload':
         process.signal('SIGHUP');
         return;
       case 'storeTurnsAway':
-        this.#during(
-          fault.forMs,
-          () => proxy.setMode('refuse'),
-          () => proxy.setMode('pass'),
+        this.#applyFor(
+          fault.durationMs,
+          () => storeProxy.setMode('refuse'),
+          () => storeProxy.setMode('pass'),
         );
-        proxy.reset();
+        storeProxy.reset();
         return;
       case 'limitUpstream':
-        this.#setLimit(upstream.standin, fault);
+        this.#setLimit(upstream.server, fault);
         return;
       case 'resetUpstream':
-        observations.disturb(0);
-        observations.limits.disturb(upstream.standin.id, 0);
+        observations.noteDisturbance(0);
+        observations.limits.noteDisturbance(upstream.server.id, 0);
         upstream.proxy.reset();
         return;
       case 'silenceUpstream':
-        observations.disturb(0);
-        observations.limits.disturb(upstream.standin.id, 0);
-        upstream.proxy.forget();
+        observations.noteDisturbance(0);
+        observations.limits.noteDisturbance(upstream.server.id, 0);
+        upstream.proxy.silenceConnections();
         return;
       case 'delayUpstream':
       case 'cutUpstreamOneWay': {
-        const { proxy: way, standin } = upstream;
-        observations.limits.disturb(standin.id, fault.forMs);
+        const { proxy: upstreamProxy, server } = upstream;
+        observations.limits.noteDisturbance(server.id, fault.durationMs);
         const mode = fault.kind === 'delayUpstream' ? 'delay' : 'dropBack';
-        this.#during(
-          fault.forMs,
-          () => way.setMode(mode),
-          () => way.setMode('pass'),
+        this.#applyFor(
+          fault.durationMs,
+          () => upstreamProxy.setMode(mode),
+          () => upstreamProxy.setMode('pass'),
         );
         return;
       }
       case 'leaveUpstream':
-        await scene.leave(upstream);
+        await environment.leave(upstream);
         return;
       case 'changeConfiguration':
-        scene.changeConfiguration();
+        environment.changeConfiguration();
         return;
       default:
-        this.#disturbStore(fault);
+        this.#injectStoreFault(fault);
     }
   }
 
-  /** Sets an upstream's limit and removes it after the fault, unless it has been changed by then. */
-  #setLimit(standin: UpstreamStandin, fault: PlannedFault): void {
-    const { deliberateBreak } = this.#options;
-    const { forMs, target } = fault;
-    this.#limitFaults.set(standin, fault);
+  /** Sets the limit of an upstream and removes it after the fault, unless a later fault has set it again. */
+  #setLimit(upstream: FakeUpstream, fault: PlannedFault): void {
+    const { injectedDefect } = this.#options;
+    const { durationMs, target } = fault;
+    this.#latestLimitFaults.set(upstream, fault);
     const limitPerS = limitsPerS[target % limitsPerS.length];
-    standin.limitPerS = limitPerS;
-    standin.isLimitHidden = deliberateBreak === 'hideLimit';
+    upstream.limitPerS = limitPerS;
+    upstream.isLimitHidden = injectedDefect === 'hideLimit';
     setTimeout(() => {
-      if (this.#limitFaults.get(standin) === fault) standin.limitPerS = undefined;
-    }, forMs);
+      if (this.#latestLimitFaults.get(upstream) === fault) upstream.limitPerS = undefined;
+    }, durationMs);
   }
 
-  #disturbStore({ kind, forMs }: PlannedFault): void {
-    const { scene } = this.#options;
+  #injectStoreFault({ kind, durationMs }: PlannedFault): void {
+    const { environment } = this.#options;
     const modes = {
       storeAway: 'busy',
       storeSlow: 'slow',
-      storeLosesAnswers: 'losesAnswers',
-      storeForgets: 'forgets',
+      storeLosesAnswers: 'loseResponses',
+      storeForgets: 'rejectWatches',
     } as const;
     const mode = modes[kind as keyof typeof modes];
-    this.#during(
-      forMs,
+    this.#applyFor(
+      durationMs,
       () => {
-        scene.store.mode = mode;
+        environment.store.mode = mode;
       },
       () => {
-        scene.store.mode = 'well';
+        environment.store.mode = 'normal';
       },
     );
   }
 
-  #during(forMs: number, begin: () => void, end: () => void): void {
-    this.#options.observations.disturb(forMs);
+  /** Starts a fault, reports it as a disturbance and ends it after its duration. */
+  #applyFor(durationMs: number, begin: () => void, end: () => void): void {
+    this.#options.observations.noteDisturbance(durationMs);
     begin();
-    setTimeout(end, forMs);
+    setTimeout(end, durationMs);
   }
 }
--- a/packages/soak/src/_lib/FaultProxy/index.ts
+++ b/packages/soak/src/_lib/FaultProxy/index.ts
@@ -1,61 +1,64 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { closeServer, listenOnLoopback } from '../listenOnLoopback/index.js';
 
-/** What a proxy does to the bytes that pass it. */
+/**
+ * What a proxy does with connections and data: forward them, refuse new connections, drop the data to
+ * the target (`dropForward`) or from it (`dropBack`), or delay the data in both directions.
+ */
 export type ProxyMode = 'pass' | 'refuse' | 'dropForward' | 'dropBack' | 'delay';
 
-interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
-  /** Whether the way has lost track of the connection, so that nothing passes it any more. */
-  isForgotten: boolean;
+interface ProxiedConnection {
+  readonly clientSocket: Socket;
+  readonly targetSocket: Socket;
+  /** Whether data and closes are no longer forwarded, as if the network had lost the connection's state. */
+  isSilenced: boolean;
 }
 
-/** How long bytes are held back while the mode is `delay`, in milliseconds. */
+/** Delay of data in the mode `delay`. */
 const delayMs = 150;
 
-/** A way to a port on loopback that can fail as networks do. */
+/** TCP proxy to a loopback port that simulates network faults. */
 export class FaultProxy implements AsyncDisposable {
-  readonly #toPort: number;
+  readonly #targetPort: number;
   readonly #server: Server;
-  readonly #pairs = new Set<Pair>();
-  /** All open sockets, also those of forgotten connections whose other end is gone. */
+  readonly #connections = new Set<ProxiedConnection>();
+  /** All open sockets, including those of silenced connections whose other socket is closed. */
   readonly #sockets = new Set<Socket>();
   #mode: ProxyMode = 'pass';
 
-  constructor(toPort: number) {
-    this.#toPort = toPort;
-    this.#server = createServer((near) => {
-      this.#take(near);
+  constructor(targetPort: number) {
+    this.#targetPort = targetPort;
+    this.#server = createServer((clientSocket) => {
+      this.#accept(clientSocket);
     });
   }
 
-  /** Where it listens; 0 before {@link listen}. */
+  /** Port that the proxy listens on; 0 before {@link listen}. */
   get port(): number {
     return (this.#server.address() as AddressInfo | null)?.port ?? 0;
   }
 
-  /** Begins to listen. */
+  /** Starts listening on a free port and returns the port. */
   listen(): Promise<number> {
     return listenOnLoopback(this.#server);
   }
 
-  /** Changes what happens from now on. */
+  /** Changes the mode, also for open connections. */
   setMode(mode: ProxyMode): void {
     this.#mode = mode;
   }
 
-  /** Ends all open connections with a reset. */
+  /** Closes all open connections with a TCP reset. */
   reset(): void {
-    for (const { near, far } of this.#pairs) {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    for (const { clientSocket, targetSocket } of this.#connections) {
+      clientSocket.resetAndDestroy();
+      targetSocket.resetAndDestroy();
     }
   }
 
-  /** Lets open connections fall silent for good, while new ones work. */
-  forget(): void {
-    for (const pair of this.#pairs) pair.isForgotten = true;
+  /** Permanently stops forwarding on the open connections; new ones work. */
+  silenceConnections(): void {
+    for (const connection of this.#connections) connection.isSilenced = true;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -63,35 +66,39 @@
     await closeServer(this.#server);
   }
 
-  #take(near: Socket): void {
-    near.on('error', () => undefined);
+  #accept(clientSocket: Socket): void {
+    clientSocket.on('error', () => undefined);
     if (this.#mode === 'refuse') {
-      near.resetAndDestroy();
+      clientSocket.resetAndDestroy();
       return;
     }
-    const far = connect(this.#toPort, '127.0.0.1');
-    far.on('error', () => undefined);
-    const pair: Pair = { near, far, isForgotten: false };
-    this.#pairs.add(pair);
-    this.#join(pair, near, far, 'dropForward');
-    this.#join(pair, far, near, 'dropBack');
+    const targetSocket = connect(this.#targetPort, '127.0.0.1');
+    targetSocket.on('error', () => undefined);
+    const connection: ProxiedConnection = {
+      clientSocket,
+      targetSocket,
+      isSilenced: false,
+    };
+    this.#connections.add(connection);
+    this.#relay(connection, clientSocket, targetSocket, 'dropForward');
+    this.#relay(connection, targetSocket, clientSocket, 'dropBack');
   }
 
-  #join(pair: Pair, from: Socket, to: Socket, dropMode: ProxyMode): void {
+  #relay(connection: ProxiedConnection, from: Socket, to: Socket, dropMode: ProxyMode): void {
     from.setNoDelay(true);
     this.#sockets.add(from);
     from.on('data', (bytes) => {
-      if (pair.isForgotten || this.#mode === dropMode) return;
+      if (connection.isSilenced || this.#mode === dropMode) return;
       if (this.#mode !== 'delay') to.write(bytes);
       else setTimeout(() => to.write(bytes), delayMs);
     });
     from.on('end', () => {
-      if (!pair.isForgotten) to.end();
+      if (!connection.isSilenced) to.end();
     });
     from.on('close', () => {
       this.#sockets.delete(from);
-      this.#pairs.delete(pair);
-      if (!pair.isForgotten) to.destroy();
+      this.#connections.delete(connection);
+      if (!connection.isSilenced) to.destroy();
     });
   }
 }
--- a/packages/soak/src/_lib/InstanceProcess/index.ts
+++ b/packages/soak/src/_lib/InstanceProcess/index.ts
@@ -2,7 +2,7 @@
 import { openSync, closeSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** Where an instance listens. */
+/** Ports that an instance listens on: for callers, readiness, the directory and links between instances. */
 export interface InstancePorts {
   readonly front: number;
   readonly ready: number;
@@ -13,17 +13,18 @@
 /** Options of {@link InstanceProcess}. */
 export interface InstanceProcessOptions {
   readonly name: string;
-  /** The program's file. */
+  /** Path of the program to run. */
   readonly program: string;
   readonly ports: InstancePorts;
-  /** Where this instance reaches the store. */
+  /** Port at which this instance connects to the store. */
   readonly storePort: number;
+  /** Directory for the settings file and the log. */
   readonly directory: string;
 }
 
-/** How long a process may take over a planned stop, in milliseconds; then it is killed. */
+/** Time limit for a graceful shutdown; after it the process is killed. */
 export const stopLimitMs = 8_000;
-/** The bounds that the settings name; the checks go by the same. */
+/** Bounds that are written to the settings of the instances and that the checks assume. */
 export const bounds = {
   stableWindowMs: 3_000,
   budgetRatio: 0.2,
@@ -31,35 +32,34 @@
   budgetSlack: 58,
 } as const;
 
-/** What a busy test machine may add to a bound on time, in milliseconds. */
-export const slackMs = 1_500;
+/** Tolerance that checks add to a time limit, since a busy test machine causes delays. */
+export const toleranceMs = 1_500;
 
-/** One instance as a process of its own, which is started again whenever it ends. */
+/** One instance as a separate process, which is restarted whenever it exits. */
 export class InstanceProcess {
   readonly #options: InstanceProcessOptions;
   #child: ChildProcess | undefined;
   readonly #exits: string[] = [];
-  #isEnding = false;
+  #isDisposed = false;
 
   constructor(options: InstanceProcessOptions) {
     this.#options = options;
-    writeFileSync(this.#settingsPath, settingsText(options));
+    writeFileSync(this.#settingsPath, renderSettings(options));
   }
 
-  /** Where the instance listens. */
   get ports(): InstancePorts {
     return this.#options.ports;
   }
 
-  /** What became of the process so far, for who has to find out why it does not answer. */
+  /** Summary of the process state and its exits, for the error when the instance is not ready in time. */
   get account(): string {
     const { name } = this.#options;
     const pid = this.#child?.pid;
-    const state = pid === undefined ? 'does not run' : `runs as ${pid}`;
-    return `${name} ${state}, ended ${this.#exits.length} times (${this.#exits.join(', ')})`;
+    const state = pid === undefined ? 'is not running' : `is running with pid ${pid}`;
+    return `${name} ${state}, exited ${this.#exits.length} times (codes or signals: ${this.#exits.join(', ')})`;
   }
 
-  /** Starts the process. */
+  /** Starts the process; its output is appended to its log file. */
   start(): void {
     const { program, directory, name } = this.#options;
     const log = openSync(join(directory, `${name}.log`), 'a');
@@ -71,16 +71,16 @@
     child.once('exit', (code, signal) => {
       this.#exits.push(String(code ?? signal));
       if (this.#child === child) this.#child = undefined;
-      if (!this.#isEnding) setTimeout(() => this.#startAgain(), 200);
+      if (!this.#isDisposed) setTimeout(() => this.#restart(), 200);
     });
   }
 
-  /** Sends a signal to this process and to no other. */
+  /** Sends a signal to this process only. */
   signal(name: NodeJS.Signals): void {
     this.#child?.kill(name);
   }
 
-  /** Asks for a planned stop; whoever still runs when its time is over is killed. */
+  /** Starts a graceful shutdown; kills the process if it has not exited within {@link stopLimitMs}. */
   stop(): void {
     const child = this.#child;
     child?.kill('SIGTERM');
@@ -88,35 +88,35 @@
   }
 
   /**
-   * Takes the process's power away for a while: nothing it would say gets out, and its open
-   * connections are left hanging until it starts again.
+   * Simulates a loss of power: the process is suspended, so that it sends nothing and its open
+   * connections hang, and is killed and restarted after the duration.
    */
-  powerOff(forMs: number): void {
+  powerOff(durationMs: number): void {
     const child = this.#child;
     child?.kill('SIGSTOP');
-    setTimeout(() => child?.kill('SIGKILL'), forMs).unref();
+    setTimeout(() => child?.kill('SIGKILL'), durationMs).unref();
   }
 
-  /** Ends the process for good. */
+  /** Kills the process without a restart; resolves once it has exited. */
   async end(): Promise<void> {
-    this.#isEnding = true;
+    this.#isDisposed = true;
     const child = this.#child;
     if (child === undefined || child.exitCode !== null) return;
-    const gone = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+    const exited = new Promise<void>((resolve) => child.once('exit', () => resolve()));
     child.kill('SIGKILL');
-    await gone;
+    await exited;
   }
 
   get #settingsPath(): string {
     return join(this.#options.directory, `${this.#options.name}.toml`);
   }
 
-  #startAgain(): void {
-    if (!this.#isEnding && this.#child === undefined) this.start();
+  #restart(): void {
+    if (!this.#isDisposed && this.#child === undefined) this.start();
   }
 }
 
-function settingsText({ name, ports, storePort }: InstanceProcessOptions): string {
+function renderSettings({ name, ports, storePort }: InstanceProcessOptions): string {
   return `nodeName = "${name}"
 zone = "here"
 portRange = [${ports.fleet}, ${ports.fleet}]
--- a/packages/soak/src/_lib/NamingCheck/index.ts
+++ b/packages/soak/src/_lib/NamingCheck/index.ts
@@ -1,80 +1,85 @@
-import type { PromiseName } from '../../types.js';
-import { bounds, slackMs } from '../InstanceProcess/index.js';
+import type { InvariantName } from '../../types.js';
+import { bounds, toleranceMs } from '../InstanceProcess/index.js';
 
-/** What one look at an instance showed. */
-export interface InstanceLook {
+/** Result of polling one instance. */
+export interface InstancePoll {
+  /** Index of the polled instance. */
   readonly instance: number;
   readonly isReady: boolean;
-  /** Whom its directory named; undefined when it did not answer. */
+  /** Indexes of the instances that its directory listed; undefined if it did not answer. */
   readonly named: readonly number[] | undefined;
 }
 
-/** Options of {@link NamingCheck}. */
-export interface NamingCheckOptions {
+/** Options of {@link DirectoryCheck}. */
+export interface DirectoryCheckOptions {
   /** Milliseconds from the start of the run. */
   readonly now: () => number;
-  readonly onViolation: (promise: PromiseName, what: string) => void;
+  readonly onViolation: (promise: InvariantName, what: string) => void;
 }
 
-/** After this long without power an instance is named no more, in milliseconds. */
-const goneMs = 2 * bounds.stableWindowMs;
-/** An instance that has been ready for so long is known to be there, in milliseconds. */
-const settledMs = bounds.stableWindowMs;
+/** Time after a loss of power by which directories must no longer list the instance. */
+const delistDeadlineMs = 2 * bounds.stableWindowMs;
+/** Time for which two instances must have been ready before the directory of one has to list the other. */
+const minReadyMs = bounds.stableWindowMs;
 
-/** Whether directories name who lives, and nobody else. */
-export class NamingCheck {
-  readonly #options: NamingCheckOptions;
+/** Checks that directories list the ready instances and none that lost power. */
+export class DirectoryCheck {
+  readonly #options: DirectoryCheckOptions;
   readonly #readySinceMs = new Map<number, number>();
-  readonly #offSinceMs = new Map<number, number>();
+  readonly #poweredOffSinceMs = new Map<number, number>();
 
-  constructor(options: NamingCheckOptions) {
+  constructor(options: DirectoryCheckOptions) {
     this.#options = options;
   }
 
-  /** Notes that an instance loses power. */
+  /** Records that an instance loses power. */
   powerOff(instance: number): void {
-    this.#offSinceMs.set(instance, this.#options.now());
+    this.#poweredOffSinceMs.set(instance, this.#options.now());
   }
 
-  /** Takes one look at each instance. */
-  take(looks: readonly InstanceLook[]): void {
-    for (const { instance, isReady } of looks) this.#noteReady(instance, isReady);
-    for (const { instance, named } of looks) {
+  /** Records and checks the results of polling all instances once. */
+  addPolls(polls: readonly InstancePoll[]): void {
+    for (const { instance, isReady } of polls) this.#noteReadiness(instance, isReady);
+    for (const { instance, named } of polls) {
       if (named === undefined) continue;
-      this.#checkGone(instance, named);
-      this.#checkLive(instance, named);
+      this.#checkPoweredOff(instance, named);
+      this.#checkReady(instance, named);
     }
   }
 
-  #noteReady(instance: number, isReady: boolean): void {
+  #noteReadiness(instance: number, isReady: boolean): void {
     if (!isReady) this.#readySinceMs.delete(instance);
     else if (!this.#readySinceMs.has(instance)) {
       this.#readySinceMs.set(instance, this.#options.now());
     }
-    if (isReady) this.#offSinceMs.delete(instance);
+    if (isReady) this.#poweredOffSinceMs.delete(instance);
   }
 
-  #checkGone(asked: number, named: readonly number[]): void {
+  #checkPoweredOff(polledInstance: number, named: readonly number[]): void {
     const nowMs = this.#options.now();
-    for (const [gone, sinceMs] of this.#offSinceMs) {
+    for (const [poweredOff, sinceMs] of this.#poweredOffSinceMs) {
       const offMs = nowMs - sinceMs;
-      if (!named.includes(gone) || offMs <= goneMs + slackMs) continue;
-      const what = `${asked} names ${gone}, off for ${Math.round(offMs)} ms`;
+      if (!named.includes(poweredOff) || offMs <= delistDeadlineMs + toleranceMs) continue;
+      const what = `instance ${polledInstance} lists instance ${poweredOff}, without power for ${Math.round(offMs)} ms`;
       this.#options.onViolation('goneInstance', what);
     }
   }
 
-  #checkLive(asked: number, named: readonly number[]): void {
-    if (!this.#isSettled(asked)) return;
-    for (const live of this.#readySinceMs.keys()) {
-      // An instance leaves itself out while it is short of tokens.
-      if (live === asked || named.includes(live) || !this.#isSettled(live)) continue;
-      this.#options.onViolation('liveInstance', `${asked} does not name ${live}, which is ready`);
+  #checkReady(polledInstance: number, named: readonly number[]): void {
+    if (!this.#isReadyLongEnough(polledInstance)) return;
+    for (const ready of this.#readySinceMs.keys()) {
+      // An instance may omit itself: it does so while it is short of tokens.
+      if (ready === polledInstance || named.includes(ready) || !this.#isReadyLongEnough(ready))
+        continue;
+      this.#options.onViolation(
+        'liveInstance',
+        `instance ${polledInstance} does not list instance ${ready}, which is ready`,
+      );
     }
   }
 
-  #isSettled(instance: number): boolean {
+  #isReadyLongEnough(instance: number): boolean {
     const sinceMs = this.#readySinceMs.get(instance);
-    return sinceMs !== undefined && this.#options.now() - sinceMs > settledMs + slackMs;
+    return sinceMs !== undefined && this.#options.now() - sinceMs > minReadyMs + toleranceMs;
   }
 }
--- a/packages/soak/src/_lib/Observations/index.ts
+++ b/packages/soak/src/_lib/Observations/index.ts
@@ -1,204 +1,241 @@
-import type { PromiseName, Violation } from '../../types.js';
-import { bounds, slackMs } from '../InstanceProcess/index.js';
+import type { InvariantName, Violation } from '../../types.js';
+import { accounts, movedRouteService, tokensPerEvent } from '../buildSoakConfiguration/index.js';
+import { bounds, toleranceMs } from '../InstanceProcess/index.js';
 import { LimitCheck } from '../LimitCheck/index.js';
-import { NamingCheck } from '../NamingCheck/index.js';
-import { accounts, movedService, tokensPerEvent } from '../soakDocument/index.js';
+import { DirectoryCheck } from '../NamingCheck/index.js';
 
-/** How one request ended for its caller. */
+/**
+ * How one request ended for its caller: with a success, a refusal, no tokens left in the client account
+ * (`spent`), another status, or a connection that failed before the end of the response (`cut`).
+ */
 export type CallOutcome = 'served' | 'refused' | 'spent' | 'failed' | 'cut';
 
-/** A request as its caller saw it. */
-export interface SeenCall {
+/** A request and its result as its caller observed them. */
+export interface ObservedCall {
   readonly id: string;
   readonly path: string;
   readonly isRepeatable: boolean;
   readonly account: string;
   readonly instance: number;
-  readonly sentMs: number;
-  readonly endedMs: number;
+  readonly sentAtMs: number;
+  readonly endedAtMs: number;
   readonly outcome: CallOutcome;
-  /** The service that the answer names; empty where it names none. */
+  /** Service that sent the response; empty if the response does not tell. */
   readonly service: string;
-  /** What was wrong with a success; empty where nothing was. */
-  readonly fault: string;
+  /** What was wrong with a successful response; empty if nothing was. */
+  readonly problem: string;
+  /** Number of stream events in the response. */
   readonly events: number;
 }
 
-interface Run {
+/** How often upstreams ran a request, and what it costs. */
+interface UpstreamRuns {
   count: number;
   readonly account: string;
   readonly promptTokens: number;
 }
 
-interface Span {
+interface TimeSpan {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** A change of configuration must be in force this long after its acknowledgement, in milliseconds. */
-const configurationMs = 2_000;
-/** An upstream that leaves gets nothing new this long after it said so, in milliseconds. */
-const drainMs = 2_000;
-/** The least share of requests that is served while nothing is wrong. */
-const leastServedShare = 0.5;
-/** Fewer calm requests than this tell nothing about that share. */
-const fewestCalmCalls = 40;
-/** Requests made while more upstreams have a limit are not counted; a service may have no other upstream. */
+/** Time after the acknowledgement of a configuration within which it must be in force. */
+const configurationDeadlineMs = 2_000;
+/** Time after which an upstream that is draining must receive no new requests. */
+const drainDeadlineMs = 2_000;
+/** Minimum share of requests served while no fault is active. */
+const minServedShare = 0.5;
+/** Number of undisturbed requests below which that share is not significant. */
+const minUndisturbedCalls = 40;
+/** Requests made while more upstreams have a limit are not counted, since a service may have no other upstream. */
 const maxLimitedUpstreams = 1;
 
-/** What callers and upstreams saw of a run, and which promises did not hold. */
+/** Collects what callers and upstreams observe in a run, and checks the invariants. */
 export class Observations {
-  readonly calls: SeenCall[] = [];
+  readonly calls: ObservedCall[] = [];
   readonly violations: Violation[] = [];
-  readonly naming: NamingCheck;
+  readonly directoryCheck: DirectoryCheck;
   readonly limits: LimitCheck;
   readonly #now: () => number;
-  readonly #runs = new Map<string, Run>();
-  readonly #refused = new Map<string, number>();
-  readonly #versions: { readonly version: number; readonly ackMs: number }[] = [];
-  readonly #disturbances: Span[] = [];
-  readonly #stops: (Span & { readonly instance: number })[] = [];
+  readonly #runs = new Map<string, UpstreamRuns>();
+  readonly #refusedAtMs = new Map<string, number>();
+  readonly #configurations: { readonly version: number; readonly acknowledgedAtMs: number }[] = [];
+  readonly #disturbances: TimeSpan[] = [];
+  readonly #stops: (TimeSpan & { readonly instance: number })[] = [];
   readonly #arrivals: {
     readonly service: string;
     readonly atMs: number;
     readonly isFirst: boolean;
   }[] = [];
-  readonly #eventsOf = new Map<string, number>();
+  readonly #eventsByAccount = new Map<string, number>();
 
   /** @param now - milliseconds from the start of the run */
   constructor(now: () => number) {
     this.#now = now;
-    const onViolation = (promise: PromiseName, what: string) => {
-      this.#break(promise, what);
+    const onViolation = (promise: InvariantName, what: string) => {
+      this.#addViolation(promise, what);
     };
-    this.naming = new NamingCheck({ now, onViolation });
+    this.directoryCheck = new DirectoryCheck({ now, onViolation });
     this.limits = new LimitCheck({ now, onViolation });
   }
 
-  /** Notes a fault; promises with a bound on time are not checked in it and for a while after it. */
-  disturb(forMs: number): void {
+  /** Records a fault. Invariants with a time limit are not checked during it and for `stableWindowMs` after it. */
+  noteDisturbance(durationMs: number): void {
     const nowMs = this.#now();
-    this.#disturbances.push({ fromMs: nowMs, toMs: nowMs + forMs + bounds.stableWindowMs });
+    this.#disturbances.push({ fromMs: nowMs, toMs: nowMs + durationMs + bounds.stableWindowMs });
   }
 
-  /** Notes that an instance was asked to stop by plan. */
-  beginStop(instance: number, forMs: number): void {
+  /** Records that the graceful shutdown of an instance was requested. */
+  noteStop(instance: number, limitMs: number): void {
     const nowMs = this.#now();
-    this.#stops.push({ instance, fromMs: nowMs, toMs: nowMs + forMs });
+    this.#stops.push({ instance, fromMs: nowMs, toMs: nowMs + limitMs });
   }
 
-  /** Notes that the store has acknowledged a configuration. */
-  acknowledge(version: number): void {
-    this.#versions.push({ version, ackMs: this.#now() });
+  /** Records that the store has acknowledged a configuration. */
+  noteAcknowledgement(version: number): void {
+    this.#configurations.push({ version, acknowledgedAtMs: this.#now() });
   }
 
-  /** Notes that an upstream received a request. */
-  arrive(service: string, id: string, leavingSinceMs: number | undefined): void {
+  /** Records that an upstream received a request. */
+  noteArrival(service: string, id: string, leavingSinceMs: number | undefined): void {
     const nowMs = this.#now();
     this.#arrivals.push({ service, atMs: nowMs, isFirst: !this.#runs.has(id) });
-    if (leavingSinceMs === undefined || nowMs < leavingSinceMs + drainMs + slackMs) return;
-    if (this.#isCalm(leavingSinceMs, nowMs)) {
-      this.#break('leavingUpstream', `${id} came ${nowMs - leavingSinceMs} ms after it left`);
+    if (leavingSinceMs === undefined || nowMs < leavingSinceMs + drainDeadlineMs + toleranceMs)
+      return;
+    if (this.#isUndisturbed(leavingSinceMs, nowMs)) {
+      this.#addViolation(
+        'leavingUpstream',
+        `${id} arrived ${nowMs - leavingSinceMs} ms after the upstream began to drain`,
+      );
     }
   }
 
-  /** Notes that an upstream ran a request. */
+  /** Records that an upstream ran a request. */
   run(id: string, isRepeatable: boolean, account: string, promptTokens: number): void {
-    const known = this.#runs.get(id) ?? { count: 0, account, promptTokens };
-    known.count += 1;
-    this.#runs.set(id, known);
-    if (known.count > 1 && !isRepeatable)
-      this.#break('atMostOnce', `${id} ran ${known.count} times`);
-    if (this.#refused.has(id)) this.#break('trueRefusal', `${id} ran after it was refused`);
-    if (known.count === 1) this.#checkPrepaid(account);
+    const runs = this.#runs.get(id) ?? { count: 0, account, promptTokens };
+    runs.count += 1;
+    this.#runs.set(id, runs);
+    if (runs.count > 1 && !isRepeatable)
+      this.#addViolation('atMostOnce', `${id} ran ${runs.count} times`);
+    if (this.#refusedAtMs.has(id))
+      this.#addViolation('trueRefusal', `${id} ran after it was refused`);
+    if (runs.count === 1) this.#checkPrepaid(account);
   }
 
-  /** Notes how a request ended for its caller. */
-  end(call: SeenCall): void {
+  /** Records how a request ended for its caller. */
+  end(call: ObservedCall): void {
     this.calls.push(call);
-    this.#eventsOf.set(call.account, (this.#eventsOf.get(call.account) ?? 0) + call.events);
+    this.#eventsByAccount.set(
+      call.account,
+      (this.#eventsByAccount.get(call.account) ?? 0) + call.events,
+    );
     this.#checkPrepaid(call.account);
-    if (call.fault !== '') this.#break('wholeAnswer', `${call.id}: ${call.fault}`);
+    if (call.problem !== '') this.#addViolation('wholeAnswer', `${call.id}: ${call.problem}`);
     if (call.outcome === 'refused' && !call.isRepeatable) {
-      this.#refused.set(call.id, call.endedMs);
-      if (this.#runs.has(call.id)) this.#break('trueRefusal', `${call.id} ran and was refused`);
+      this.#refusedAtMs.set(call.id, call.endedAtMs);
+      if (this.#runs.has(call.id))
+        this.#addViolation('trueRefusal', `${call.id} ran and was refused`);
     }
     if (call.path === '/moved/' && call.outcome === 'served') this.#checkConfiguration(call);
     if (call.outcome === 'cut') this.#checkStop(call);
   }
 
-  /** Checks what shows only over the whole run. */
+  /** Checks the invariants that apply to the run as a whole. */
   finish(): void {
     for (const service of new Set(this.#arrivals.map((arrival) => arrival.service))) {
       this.#checkRetries(service);
     }
-    const calm = this.calls.filter(
-      ({ sentMs, endedMs, outcome }) =>
+    const undisturbed = this.calls.filter(
+      ({ sentAtMs, endedAtMs, outcome }) =>
         outcome !== 'spent' &&
-        this.#isCalm(sentMs, endedMs) &&
-        this.limits.countLimited(sentMs, endedMs) <= maxLimitedUpstreams,
+        this.#isUndisturbed(sentAtMs, endedAtMs) &&
+        this.limits.countLimited(sentAtMs, endedAtMs) <= maxLimitedUpstreams,
     );
-    const served = calm.filter(({ outcome }) => outcome === 'served').length;
-    if (calm.length >= fewestCalmCalls && served < leastServedShare * calm.length) {
-      this.#break('served', `${served} of ${calm.length} requests were served while all was well`);
+    const served = undisturbed.filter(({ outcome }) => outcome === 'served').length;
+    if (undisturbed.length >= minUndisturbedCalls && served < minServedShare * undisturbed.length) {
+      this.#addViolation(
+        'served',
+        `${served} of ${undisturbed.length} requests were served while no fault was active`,
+      );
     }
   }
 
   #checkPrepaid(name: string): void {
-    const account = accounts.find((one) => one.name === name);
+    const account = accounts.find((entry) => entry.name === name);
     if (account === undefined) return;
-    let spent = (this.#eventsOf.get(name) ?? 0) * tokensPerEvent;
-    for (const run of this.#runs.values()) if (run.account === name) spent += run.promptTokens;
-    if (spent > account.prepaidTokens) {
-      this.#break('prepaid', `${name} spent ${spent} of ${account.prepaidTokens} tokens`);
+    let spentTokens = (this.#eventsByAccount.get(name) ?? 0) * tokensPerEvent;
+    for (const runs of this.#runs.values())
+      if (runs.account === name) spentTokens += runs.promptTokens;
+    if (spentTokens > account.prepaidTokens) {
+      this.#addViolation(
+        'prepaid',
+        `${name} spent ${spentTokens} of ${account.prepaidTokens} tokens`,
+      );
     }
   }
 
-  /** Any version may be in force that no other was in time to replace before the request was sent. */
-  #checkConfiguration({ id, sentMs, endedMs, service }: SeenCall): void {
-    const inForce = this.#versions.filter(
-      ({ ackMs }) => ackMs + configurationMs + slackMs <= sentMs,
+  /**
+   * Checks that a request used a version that may have been in force: the newest one whose deadline had
+   * passed when the request was sent, or a later one that was acknowledged before the request ended.
+   */
+  #checkConfiguration({ id, sentAtMs, endedAtMs, service }: ObservedCall): void {
+    const enforced = this.#configurations.filter(
+      ({ acknowledgedAtMs }) =>
+        acknowledgedAtMs + configurationDeadlineMs + toleranceMs <= sentAtMs,
     );
-    const oldest = inForce.at(-1);
-    if (oldest === undefined || !this.#isCalm(oldest.ackMs, endedMs)) return;
-    const allowed = this.#versions.filter(
-      ({ version, ackMs }) => version >= oldest.version && ackMs <= endedMs,
+    const oldest = enforced.at(-1);
+    if (oldest === undefined || !this.#isUndisturbed(oldest.acknowledgedAtMs, endedAtMs)) return;
+    const allowed = this.#configurations.filter(
+      ({ version, acknowledgedAtMs }) => version >= oldest.version && acknowledgedAtMs <= endedAtMs,
+    );
+    if (allowed.some(({ version }) => movedRouteService(version) === service)) return;
+    this.#addViolation(
+      'configuration',
+      `${id} went to ${service}, but version ${oldest.version} is in force`,
     );
-    if (allowed.some(({ version }) => movedService(version) === service)) return;
-    this.#break('configuration', `${id} went to ${service}, ${oldest.version} is in force`);
   }
 
-  #checkStop({ id, instance, sentMs, endedMs }: SeenCall): void {
+  #checkStop({ id, instance, sentAtMs, endedAtMs }: ObservedCall): void {
     const stop = this.#stops.find(
-      (one) => one.instance === instance && one.fromMs <= endedMs && endedMs <= one.toMs,
+      (entry) =>
+        entry.instance === instance && entry.fromMs <= endedAtMs && endedAtMs <= entry.toMs,
+    );
+    if (stop === undefined || !this.#isUndisturbed(Math.min(sentAtMs, stop.fromMs), endedAtMs))
+      return;
+    this.#addViolation(
+      'plannedStop',
+      `${id} was cut off ${endedAtMs - stop.fromMs} ms after the graceful shutdown began`,
     );
-    if (stop === undefined || !this.#isCalm(Math.min(sentMs, stop.fromMs), endedMs)) return;
-    this.#break('plannedStop', `${id} was cut ${endedMs - stop.fromMs} ms after the stop began`);
   }
 
-  /** Repeats in each window against the requests of that window and the one before it. */
+  /** Checks the retries in each window against the first attempts in that window and the one before it. */
   #checkRetries(service: string): void {
     const arrivals = this.#arrivals.filter((arrival) => arrival.service === service);
     for (const { atMs: endMs } of arrivals) {
       const inWindow = arrivals.filter(
         ({ atMs }) => atMs <= endMs && atMs > endMs - bounds.budgetWindowMs,
       );
-      const repeats = inWindow.filter(({ isFirst }) => !isFirst).length;
-      const firsts = arrivals.filter(
+      const retries = inWindow.filter(({ isFirst }) => !isFirst).length;
+      const firstAttempts = arrivals.filter(
         ({ atMs, isFirst }) => isFirst && atMs <= endMs && atMs > endMs - 2 * bounds.budgetWindowMs,
       ).length;
-      const allowed = bounds.budgetRatio * firsts + bounds.budgetSlack;
-      if (repeats <= allowed) continue;
-      this.#break('retryBudget', `${service} got ${repeats} repeats in a window of ${firsts}`);
+      const allowed = bounds.budgetRatio * firstAttempts + bounds.budgetSlack;
+      if (retries <= allowed) continue;
+      this.#addViolation(
+        'retryBudget',
+        `${service} received ${retries} retries in a window; first attempts in it and the window before it: ${firstAttempts}`,
+      );
       return;
     }
   }
 
-  #isCalm(fromMs: number, toMs: number): boolean {
+  /** Whether no disturbance overlaps a time span. */
+  #isUndisturbed(fromMs: number, toMs: number): boolean {
     return !this.#disturbances.some((span) => span.fromMs <= toMs && span.toMs >= fromMs);
   }
 
-  #break(promise: PromiseName, what: string): void {
+  #addViolation(promise: InvariantName, what: string): void {
     this.violations.push({ promise, atMs: Math.round(this.#now()), what });
   }
 }
--- /dev/null
+++ b/packages/soak/src/_lib/SoakEnvironment/index.ts
@@ -0,0 +1,174 @@
+import { DisposableStore, SystemClock, type Random } from '@acaciacrank/base';
+import { MemoryPlatform } from '@acaciacrank/store';
+import { setTimeout as sleep } from 'node:timers/promises';
+import { fileURLToPath } from 'node:url';
+import type { SoakOptions } from '../../types.js';
+import { buildSoakConfiguration } from '../buildSoakConfiguration/index.js';
+import { FakeStore } from '../FakeStore/index.js';
+import { FakeUpstream } from '../FakeUpstream/index.js';
+import { FaultProxy } from '../FaultProxy/index.js';
+import { findFreePorts } from '../findFreePorts/index.js';
+import { InstanceProcess } from '../InstanceProcess/index.js';
+import type { Observations } from '../Observations/index.js';
+
+/** A fake upstream and the fault proxy through which instances reach it. */
+export interface ProxiedUpstream {
+  readonly server: FakeUpstream;
+  readonly proxy: FaultProxy;
+}
+
+/** An instance and the fault proxy through which it reaches the store. */
+export interface ProxiedInstance {
+  readonly process: InstanceProcess;
+  readonly storeProxy: FaultProxy;
+}
+
+/** Options of {@link SoakEnvironment}. */
+export interface SoakEnvironmentOptions extends SoakOptions {
+  readonly random: Random;
+  readonly observations: Observations;
+  /** Milliseconds from the start of the run. */
+  readonly now: () => number;
+}
+
+/** Path of the program under test, as built in this workspace. */
+const program = fileURLToPath(import.meta.resolve('@acaciacrank/platform')).replace(
+  /index\.js$/,
+  'bin.js',
+);
+/** Ports for callers, readiness, the directory and links between instances. */
+const portsPerInstance = 4;
+/** Number of upstreams by service. */
+const upstreamsPerService = { app: 3, records: 2, lm: 3 } as const;
+/**
+ * Time between readiness of all instances and the start of the load, time limit for an instance to become
+ * ready, and timeout of one readiness request.
+ */
+const startupTimes = { settleMs: 1_500, timeoutMs: 20_000, responseTimeoutMs: 2_000 } as const;
+/** Time for which a draining upstream keeps serving before it is removed. */
+const drainMs = 5_000;
+
+/** The instances under test with the fake store, the fake upstreams and the fault proxies between them. */
+export class SoakEnvironment implements AsyncDisposable {
+  readonly store: FakeStore;
+  readonly instances: ProxiedInstance[] = [];
+  readonly upstreams: ProxiedUpstream[] = [];
+  readonly #options: SoakEnvironmentOptions;
+  readonly #owned = new DisposableStore();
+  readonly #platform = new MemoryPlatform(new SystemClock());
+  #version = 0;
+  #upstreamCount = 0;
+
+  constructor(options: SoakEnvironmentOptions) {
+    this.#options = options;
+    this.store = this.#owned.add(new FakeStore(this.#platform, options.random));
+  }
+
+  /**
+   * Starts everything and waits until all instances are ready.
+   *
+   * @throws {Error} if an instance is not ready in time
+   */
+  async start(): Promise<void> {
+    const { instances, directory } = this.#options;
+    const storePort = await this.store.listen();
+    this.changeConfiguration();
+    for (const [service, count] of Object.entries(upstreamsPerService)) {
+      for (let index = 0; index < count; index += 1) await this.#addUpstream(service);
+    }
+    const freePorts = await findFreePorts(portsPerInstance * instances);
+    for (let index = 0; index < instances; index += 1) {
+      const storeProxy = this.#owned.add(new FaultProxy(storePort));
+      const [front = 0, ready = 0, directoryPort = 0, fleet = 0] = freePorts.splice(
+        0,
+        portsPerInstance,
+      );
+      const process = new InstanceProcess({
+        name: `instance-${index}`,
+        program,
+        ports: { front, ready, directory: directoryPort, fleet },
+        storePort: await storeProxy.listen(),
+        directory,
+      });
+      this.instances.push({ process, storeProxy });
+      process.start();
+    }
+    await Promise.all(this.instances.map(({ process }) => waitUntilReady(process)));
+    await sleep(startupTimes.settleMs);
+  }
+
+  /** Writes the next version of the configuration and records its acknowledgement. */
+  changeConfiguration(): void {
+    const { injectedDefect } = this.#options;
+    this.#version += 1;
+    const prepaidFactor = injectedDefect === 'raiseLimit' ? 100 : 1;
+    const isWithheld = injectedDefect === 'holdConfiguration' && this.#version > 1;
+    if (!isWithheld) {
+      const document = buildSoakConfiguration(this.#version, prepaidFactor);
+      this.#platform.write('config/main', document, { kind: 'none' });
+    }
+    this.#options.observations.noteAcknowledgement(this.#version);
+  }
+
+  /** Adds a replacement for an upstream, drains the upstream and removes it after `drainMs`. */
+  async leave(upstream: ProxiedUpstream): Promise<void> {
+    const { server, proxy } = upstream;
+    const index = this.upstreams.indexOf(upstream);
+    if (server.leavingSinceMs !== undefined || index < 0) return;
+    this.upstreams.splice(index, 1);
+    await this.#addUpstream(server.service);
+    server.leavingSinceMs = this.#options.now();
+    if (this.#options.injectedDefect === 'holdLeaving') return;
+    this.#writeUpstreamRecord(upstream, 'draining');
+    setTimeout(() => {
+      const key = `servers/${server.id}`;
+      const stored = this.#platform.read(key);
+      if (stored !== undefined) this.#platform.remove(key, stored.version);
+      proxy.reset();
+      proxy.setMode('refuse');
+    }, drainMs);
+  }
+
+  async [Symbol.asyncDispose](): Promise<void> {
+    await Promise.all(this.instances.map(({ process }) => process.end()));
+    await this.#owned.dispose();
+  }
+
+  async #addUpstream(service: string): Promise<void> {
+    this.#upstreamCount += 1;
+    const id = `u${this.#upstreamCount}`;
+    const { observations, now } = this.#options;
+    const server = this.#owned.add(new FakeUpstream({ id, service, observations, now }));
+    const proxy = this.#owned.add(new FaultProxy(await server.listen()));
+    await proxy.listen();
+    const upstream = { server, proxy };
+    this.upstreams.push(upstream);
+    this.#writeUpstreamRecord(upstream, 'ready');
+  }
+
+  #writeUpstreamRecord({ server, proxy }: ProxiedUpstream, state: 'ready' | 'draining'): void {
+    const address = `127.0.0.1:${proxy.port}`;
+    const { id, service } = server;
+    const record = { service, address, zone: 'here', slots: 16, state };
+    this.#platform.write(`servers/${id}`, record, { kind: 'none' });
+  }
+}
+
+async function waitUntilReady(process: InstanceProcess): Promise<void> {
+  const deadlineMs = performance.now() + startupTimes.timeoutMs;
+  let reason = 'it did not answer';
+  while (performance.now() < deadlineMs) {
+    try {
+      const signal = AbortSignal.timeout(startupTimes.responseTimeoutMs);
+      const response = await fetch(`http://127.0.0.1:${process.ports.ready}/readiness`, { signal });
+      if (response.ok) return;
+      reason = `it answered ${response.status}`;
+    } catch (thrown) {
+      // The instance does not listen yet.
+      reason = String((thrown as Error).cause ?? thrown);
+    }
+    await sleep(50);
+  }
+  const { timeoutMs: waitedMs } = startupTimes;
+  throw new Error(`instance not ready within ${waitedMs} ms: ${reason}; ${process.account}`);
+}
--- a/packages/soak/src/_lib/soakDocument/index.ts
+++ b/packages/soak/src/_lib/buildSoakConfiguration/index.ts
@@ -1,27 +1,27 @@
 /**
- * The configuration that a soak puts in force, as the platform's operator writes it.
+ * Configuration of a soak run, in the form in which the operator of the platform writes it.
  */
 
-/** The host of all routes. */
+/** Host of all routes. */
 export const host = 'shop.example';
-/** Tokens in one event of a stream. */
+/** Tokens per stream event. */
 export const tokensPerEvent = 5;
 
-/** A client account of the soak. */
+/** A client account of the soak, with its API key. */
 export interface SoakAccount {
   readonly name: string;
   readonly key: string;
   readonly prepaidTokens: number;
 }
 
-/** The accounts: one with plenty, one that runs out halfway, one that is nearly empty. */
+/** Client accounts: one with ample tokens, one that runs out during the run, one that is nearly empty. */
 export const accounts: readonly SoakAccount[] = [
   { name: 'office', key: 'office-key', prepaidTokens: 50_000_000 },
   { name: 'school', key: 'school-key', prepaidTokens: 150_000 },
   { name: 'family', key: 'family-key', prepaidTokens: 20_000 },
 ];
 
-/** One kind of request. */
+/** A kind of request that the load generator sends. */
 export interface RequestKind {
   readonly path: string;
   readonly method: 'GET' | 'POST';
@@ -29,7 +29,7 @@
   readonly isStream: boolean;
 }
 
-/** The kinds of requests, each with a route. */
+/** All kinds of requests; each has its own route. */
 export const requestKinds: readonly RequestKind[] = [
   { path: '/read/', method: 'GET', isRepeatable: true, isStream: false },
   { path: '/pay/', method: 'POST', isRepeatable: false, isStream: false },
@@ -38,21 +38,21 @@
   { path: '/plan/', method: 'POST', isRepeatable: false, isStream: true },
 ];
 
-/** How long the longest request may take, in milliseconds. */
+/** Timeout of every route, which is also the time budget that callers send. */
 export const timeoutMs = 3_000;
 
-/** The service that the route `/moved/` leads to in a version; each version moves it. */
-export function movedService(version: number): string {
+/** Returns the service of the route `/moved/` in a version; it changes with every version. */
+export function movedRouteService(version: number): string {
   return version % 2 === 0 ? 'records' : 'app';
 }
 
 /**
- * The document of a version.
+ * Builds the configuration document of a version.
  *
- * @param version - rises with each change
- * @param limitFactor - multiplies the prepaid tokens; 1 but for a deliberate break
+ * @param version - increases with each change
+ * @param prepaidFactor - multiplies the prepaid tokens; other than 1 only for an injected defect
  */
-export function soakDocument(version: number, limitFactor = 1): unknown {
+export function buildSoakConfiguration(version: number, prepaidFactor = 1): unknown {
   const common = { host, timeoutMs, targetLatencyMs: 400, priority: 0, maxAttempts: 2 };
   const stream = { ...common, kind: 'streaming', service: 'lm', gapTargetMs: 300 };
   const engine = { slots: 16, kvTokens: 100_000, stride: tokensPerEvent };
@@ -66,7 +66,7 @@
         name: 'moved',
         pathPrefix: '/moved/',
         kind: 'safe',
-        service: movedService(version),
+        service: movedRouteService(version),
       },
       { ...stream, name: 'chat', pathPrefix: '/chat/', resumable: true },
       { ...stream, name: 'plan', pathPrefix: '/plan/', resumable: false, maxAttempts: 1 },
@@ -79,7 +79,7 @@
     tenants: accounts.map(({ name, key, prepaidTokens }) => ({
       name,
       apiKeys: [key],
-      prepaid: prepaidTokens * limitFactor,
+      prepaid: prepaidTokens * prepaidFactor,
     })),
   };
 }
--- a/packages/soak/src/_lib/listenOnLoopback/index.ts
+++ b/packages/soak/src/_lib/listenOnLoopback/index.ts
@@ -1,10 +1,10 @@
 import type { AddressInfo, Server } from 'node:net';
 
 /**
- * Lets a server listen on loopback at a port that the system chooses.
+ * Makes a server listen on the loopback address at a port that the system chooses.
  *
  * @returns the port
- * @throws the server's error
+ * @throws the error of the server if it cannot listen
  */
 export async function listenOnLoopback(server: Server): Promise<number> {
   await new Promise<void>((resolve, reject) => {
@@ -14,7 +14,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Ends a server; resolves when it listens no more and its connections have ended. */
+/** Closes a server; resolves once it has stopped listening and its connections have ended. */
 export async function closeServer(server: Server): Promise<void> {
   await new Promise<void>((resolve) => {
     server.close(() => {
--- a/packages/soak/src/_lib/planFaults/index.ts
+++ b/packages/soak/src/_lib/planFaults/index.ts
@@ -1,70 +1,74 @@
 import type { Random } from '@acaciacrank/base';
 import type { FaultKind, PlannedFault } from '../../types.js';
 
-/** A fault's kind, how often it is drawn against the others, and how long it lasts, in milliseconds. */
-interface FaultShape {
+/** Kind of a fault, its weight in the random choice, and the range of its duration. */
+interface FaultProfile {
   readonly kind: FaultKind;
   readonly weight: number;
-  readonly leastMs: number;
-  readonly mostMs: number;
+  readonly minDurationMs: number;
+  readonly maxDurationMs: number;
 }
 
-const shapes: readonly FaultShape[] = [
-  { kind: 'kill', weight: 3, leastMs: 0, mostMs: 0 },
-  { kind: 'pause', weight: 2, leastMs: 300, mostMs: 3_000 },
-  { kind: 'powerOff', weight: 2, leastMs: 8_000, mostMs: 14_000 },
-  { kind: 'stop', weight: 3, leastMs: 8_500, mostMs: 8_500 },
-  { kind: 'reload', weight: 1, leastMs: 0, mostMs: 0 },
-  { kind: 'storeAway', weight: 2, leastMs: 500, mostMs: 6_000 },
-  { kind: 'storeSlow', weight: 2, leastMs: 1_000, mostMs: 4_000 },
-  { kind: 'storeLosesAnswers', weight: 2, leastMs: 1_000, mostMs: 5_000 },
-  { kind: 'storeTurnsAway', weight: 2, leastMs: 500, mostMs: 6_000 },
-  { kind: 'storeTurnsAway', weight: 1, leastMs: 14_000, mostMs: 20_000 },
-  { kind: 'storeForgets', weight: 1, leastMs: 500, mostMs: 1_000 },
-  { kind: 'resetUpstream', weight: 3, leastMs: 0, mostMs: 0 },
-  { kind: 'silenceUpstream', weight: 2, leastMs: 0, mostMs: 0 },
-  { kind: 'delayUpstream', weight: 1, leastMs: 500, mostMs: 3_000 },
-  { kind: 'cutUpstreamOneWay', weight: 2, leastMs: 300, mostMs: 2_000 },
-  { kind: 'leaveUpstream', weight: 3, leastMs: 6_000, mostMs: 6_000 },
-  { kind: 'limitUpstream', weight: 5, leastMs: 5_000, mostMs: 15_000 },
-  { kind: 'changeConfiguration', weight: 5, leastMs: 0, mostMs: 0 },
+const faultProfiles: readonly FaultProfile[] = [
+  { kind: 'kill', weight: 3, minDurationMs: 0, maxDurationMs: 0 },
+  { kind: 'pause', weight: 2, minDurationMs: 300, maxDurationMs: 3_000 },
+  { kind: 'powerOff', weight: 2, minDurationMs: 8_000, maxDurationMs: 14_000 },
+  { kind: 'stop', weight: 3, minDurationMs: 8_500, maxDurationMs: 8_500 },
+  { kind: 'reload', weight: 1, minDurationMs: 0, maxDurationMs: 0 },
+  { kind: 'storeAway', weight: 2, minDurationMs: 500, maxDurationMs: 6_000 },
+  { kind: 'storeSlow', weight: 2, minDurationMs: 1_000, maxDurationMs: 4_000 },
+  { kind: 'storeLosesAnswers', weight: 2, minDurationMs: 1_000, maxDurationMs: 5_000 },
+  { kind: 'storeTurnsAway', weight: 2, minDurationMs: 500, maxDurationMs: 6_000 },
+  { kind: 'storeTurnsAway', weight: 1, minDurationMs: 14_000, maxDurationMs: 20_000 },
+  { kind: 'storeForgets', weight: 1, minDurationMs: 500, maxDurationMs: 1_000 },
+  { kind: 'resetUpstream', weight: 3, minDurationMs: 0, maxDurationMs: 0 },
+  { kind: 'silenceUpstream', weight: 2, minDurationMs: 0, maxDurationMs: 0 },
+  { kind: 'delayUpstream', weight: 1, minDurationMs: 500, maxDurationMs: 3_000 },
+  { kind: 'cutUpstreamOneWay', weight: 2, minDurationMs: 300, maxDurationMs: 2_000 },
+  { kind: 'leaveUpstream', weight: 3, minDurationMs: 6_000, maxDurationMs: 6_000 },
+  { kind: 'limitUpstream', weight: 5, minDurationMs: 5_000, maxDurationMs: 15_000 },
+  { kind: 'changeConfiguration', weight: 5, minDurationMs: 0, maxDurationMs: 0 },
 ];
 
-/** The mean time between two series of faults, and within one series, in milliseconds. */
-const pauses = { between: 6_000, within: 400 } as const;
-/** How many faults a series has at most. */
-const longestSeries = 4;
+/** Mean time between two series of faults, and between two faults of a series. */
+const meanIntervalsMs = { betweenSeries: 6_000, withinSeries: 400 } as const;
+const maxSeriesLength = 4;
 
 /**
- * Draws the faults of a run: in series that overlap, with calm times between them.
+ * Generates the faults of a run: series of overlapping faults with undisturbed periods between them.
  *
- * @param random - decides; the same source gives the same plan
- * @param durationMs - how long the run lasts
+ * @param random - random numbers; the same sequence gives the same plan
+ * @param runDurationMs - duration of the run
  *
  * @example
  * planFaults(createRandom(7), 60_000).length;
  */
-export function planFaults(random: Random, durationMs: number): PlannedFault[] {
+export function planFaults(random: Random, runDurationMs: number): PlannedFault[] {
   const plan: PlannedFault[] = [];
-  let atMs = pauses.between * random();
-  while (atMs < durationMs) {
-    const length = 1 + Math.floor(random() * longestSeries);
-    for (let step = 0; step < length && atMs < durationMs; step += 1) {
-      const { kind, leastMs, mostMs } = draw(random);
-      const forMs = Math.round(leastMs + random() * (mostMs - leastMs));
-      plan.push({ kind, atMs: Math.round(atMs), forMs, target: Math.floor(random() * 1_000) });
-      atMs += 2 * random() * pauses.within;
+  let atMs = meanIntervalsMs.betweenSeries * random();
+  while (atMs < runDurationMs) {
+    const length = 1 + Math.floor(random() * maxSeriesLength);
+    for (let step = 0; step < length && atMs < runDurationMs; step += 1) {
+      const { kind, minDurationMs, maxDurationMs } = drawProfile(random);
+      const durationMs = Math.round(minDurationMs + random() * (maxDurationMs - minDurationMs));
+      plan.push({
+        kind,
+        atMs: Math.round(atMs),
+        durationMs,
+        target: Math.floor(random() * 1_000),
+      });
+      atMs += 2 * random() * meanIntervalsMs.withinSeries;
     }
-    atMs += 2 * random() * pauses.between;
+    atMs += 2 * random() * meanIntervalsMs.betweenSeries;
   }
   return plan;
 }
 
-function draw(random: Random): FaultShape {
-  let at = random() * shapes.reduce((sum, { weight }) => sum + weight, 0);
-  for (const shape of shapes) {
-    at -= shape.weight;
-    if (at < 0) return shape;
+function drawProfile(random: Random): FaultProfile {
+  let remainingWeight = random() * faultProfiles.reduce((sum, { weight }) => sum + weight, 0);
+  for (const profile of faultProfiles) {
+    remainingWeight -= profile.weight;
+    if (remainingWeight < 0) return profile;
   }
-  return shapes[0] as FaultShape;
+  return faultProfiles[0] as FaultProfile;
 }
--- a/packages/soak/src/bin.ts
+++ b/packages/soak/src/bin.ts
@@ -1,45 +1,44 @@
 #!/usr/bin/env node
 /**
- * The soak's command line: runs seeds one after the other and says which promises did not hold.
+ * Command line of the soak test: runs one or more seeds in sequence and prints the violated invariants.
  */
 import { cac } from 'cac';
 import { rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { runSoak } from './runSoak/index.js';
 
-/** Milliseconds in a minute. */
-const millisecondsInMinute = 60_000;
+const millisecondsPerMinute = 60_000;
 
 async function main(): Promise<void> {
   const cli = cac('soak');
-  cli.option('--seed <number>', 'First seed', { default: 1 });
-  cli.option('--seeds <count>', 'How many seeds in a row', { default: 1 });
-  cli.option('--minutes <minutes>', 'How long each seed runs', { default: 0.5 });
-  cli.option('--instances <count>', 'How many instances', { default: 4 });
-  cli.option('--rate <number>', 'Requests in a second', { default: 60 });
-  cli.option('--json', 'One object for each seed');
+  cli.option('--seed <number>', 'Seed of the first run', { default: 1 });
+  cli.option('--seeds <count>', 'Number of consecutive seeds to run', { default: 1 });
+  cli.option('--minutes <minutes>', 'Duration of each run, in minutes', { default: 0.5 });
+  cli.option('--instances <count>', 'Number of instances', { default: 4 });
+  cli.option('--rate <number>', 'Requests per second', { default: 60 });
+  cli.option('--json', 'Print one JSON report per seed');
   cli.help();
   const { options } = cli.parse();
   if (options.help === true) return;
-  const first = Number(options.seed);
+  const firstSeed = Number(options.seed);
   const minutes = Number(options.minutes);
-  for (let seed = first; seed < first + Number(options.seeds); seed += 1) {
+  for (let seed = firstSeed; seed < firstSeed + Number(options.seeds); seed += 1) {
     const directory = join('.run', 'soak', String(seed));
     const instances = Number(options.instances);
     const report = await runSoak({
       seed,
       instances,
       directory,
-      durationMs: minutes * millisecondsInMinute,
+      durationMs: minutes * millisecondsPerMinute,
       requestsPerSecond: Number(options.rate),
     });
     const { requests, served, refused, failed, faults, violations } = report;
-    const injected = Object.values(faults).reduce((sum, count) => sum + count, 0);
+    const faultCount = Object.values(faults).reduce((sum, count) => sum + count, 0);
     if (options.json === true) process.stdout.write(`${JSON.stringify(report)}\n`);
     else {
       process.stdout.write(
         `seed ${seed}: ${requests} requests, ${served} served, ${refused} refused, ` +
-          `${failed} failed, ${injected} faults, ${violations.length} violations\n`,
+          `${failed} failed, ${faultCount} faults, ${violations.length} violations\n`,
       );
     }
     if (violations.length === 0) {
@@ -51,7 +50,7 @@
       process.stdout.write(`  ${promise} at ${atMs} ms: ${what}\n`);
     }
     process.stdout.write(
-      `  again: npm run soak -- --seed ${seed} --minutes ${minutes} --instances ${instances} ` +
+      `  to reproduce: npm run soak -- --seed ${seed} --minutes ${minutes} --instances ${instances} ` +
         `--rate ${options.rate}; logs: ${directory}\n`,
     );
   }
--- a/packages/soak/src/runSoak/index.ts
+++ b/packages/soak/src/runSoak/index.ts
@@ -1,20 +1,21 @@
 import { createRandom, type Random } from '@acaciacrank/base';
 import { mkdirSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { CallerLoad } from '../_lib/CallerLoad/index.js';
-import { DirectoryWatch } from '../_lib/DirectoryWatch/index.js';
+import { LoadGenerator } from '../_lib/CallerLoad/index.js';
+import { DirectoryPoller } from '../_lib/DirectoryWatch/index.js';
 import { FaultInjector } from '../_lib/FaultInjector/index.js';
 import { Observations } from '../_lib/Observations/index.js';
 import { planFaults } from '../_lib/planFaults/index.js';
-import { SoakScene } from '../_lib/SoakScene/index.js';
+import { SoakEnvironment } from '../_lib/SoakEnvironment/index.js';
 import type { SoakOptions, SoakReport } from '../types.js';
 
 /**
- * Runs real instances as processes of their own between stand-ins, injects faults from outside and
- * checks the system's promises from what callers and upstreams see.
+ * Runs real instances as separate processes with a fake store and fake upstreams, injects faults from
+ * outside and checks the system's invariants from what callers and upstreams observe.
  *
- * @param options - the seed decides load and faults
- * @returns what happened; it holds when there is no violation
+ * @param options - the seed determines load and faults
+ * @returns the report; the run passed if it has no violations
+ * @throws {Error} if an instance does not become ready in time
  *
  * @example
  * const { violations } = await runSoak({ ...options, seed: 7 });
@@ -27,9 +28,9 @@
 class Soak implements AsyncDisposable {
   readonly #options: SoakOptions;
   readonly #random: Random;
-  readonly #startedMs = performance.now();
+  readonly #startedAtMs = performance.now();
   readonly #observations = new Observations(() => this.#now());
-  readonly #scene: SoakScene;
+  readonly #environment: SoakEnvironment;
   readonly #injector: FaultInjector;
 
   constructor(options: SoakOptions) {
@@ -37,62 +38,75 @@
     this.#random = createRandom(options.seed);
     mkdirSync(options.directory, { recursive: true });
     const observations = this.#observations;
-    const { deliberateBreak } = options;
+    const { injectedDefect } = options;
     const now = () => this.#now();
-    const scene = new SoakScene({ ...options, random: this.#random, observations, now });
-    this.#scene = scene;
-    this.#injector = new FaultInjector({ scene, observations, deliberateBreak });
+    const environment = new SoakEnvironment({
+      ...options,
+      random: this.#random,
+      observations,
+      now,
+    });
+    this.#environment = environment;
+    this.#injector = new FaultInjector({
+      environment,
+      observations,
+      injectedDefect,
+    });
   }
 
   async run(): Promise<SoakReport> {
     const { durationMs, seed } = this.#options;
-    await this.#scene.start();
-    const loadFromMs = this.#now();
-    const ended = new AbortController();
-    const running = this.#load(ended.signal);
+    await this.#environment.start();
+    const loadStartMs = this.#now();
+    const loadAbort = new AbortController();
+    const loadDone = this.#runLoad(loadAbort.signal);
     const faults = this.#options.faults ?? planFaults(createRandom(seed), durationMs);
     for (const fault of faults) {
-      await sleep(Math.max(0, loadFromMs + fault.atMs - this.#now()));
+      await sleep(Math.max(0, loadStartMs + fault.atMs - this.#now()));
       await this.#injector.inject(fault);
     }
-    await sleep(Math.max(0, loadFromMs + durationMs - this.#now()));
-    ended.abort();
-    await running;
+    await sleep(Math.max(0, loadStartMs + durationMs - this.#now()));
+    loadAbort.abort();
+    await loadDone;
     this.#observations.finish();
     return this.#report();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.#scene[Symbol.asyncDispose]();
+    await this.#environment[Symbol.asyncDispose]();
   }
 
   #now(): number {
-    return performance.now() - this.#startedMs;
+    return performance.now() - this.#startedAtMs;
   }
 
-  /** Callers, and the look at directories, until the signal is aborted. */
-  async #load(signal: AbortSignal): Promise<void> {
-    const { deliberateBreak, requestsPerSecond } = this.#options;
-    const instances = this.#scene.instances.map(({ process }) => process.ports);
-    const load = new CallerLoad({
+  /** Generates load and polls the directories until the signal is aborted. */
+  async #runLoad(signal: AbortSignal): Promise<void> {
+    const { injectedDefect, requestsPerSecond } = this.#options;
+    const instances = this.#environment.instances.map(({ process }) => process.ports);
+    const load = new LoadGenerator({
       random: this.#random,
       observations: this.#observations,
       now: () => this.#now(),
-      frontPorts: instances.map(({ front }) => front),
+      callerPorts: instances.map(({ front }) => front),
       directoryPorts: instances.map(({ directory }) => directory),
       requestsPerSecond,
-      deliberateBreak,
+      injectedDefect,
+    });
+    const { directoryCheck } = this.#observations;
+    const poller = new DirectoryPoller({
+      instances,
+      check: directoryCheck,
+      injectedDefect,
     });
-    const { naming } = this.#observations;
-    const watch = new DirectoryWatch({ instances, check: naming, deliberateBreak });
-    await Promise.all([load.run(signal), watch.run(signal)]);
+    await Promise.all([load.run(signal), poller.run(signal)]);
   }
 
   #report(): SoakReport {
     const { seed, durationMs } = this.#options;
     const { calls, violations } = this.#observations;
-    const count = (...wanted: string[]) =>
-      calls.filter(({ outcome }) => wanted.includes(outcome)).length;
+    const count = (...outcomes: string[]) =>
+      calls.filter(({ outcome }) => outcomes.includes(outcome)).length;
     return {
       seed,
       durationMs,
--- a/packages/soak/src/runSoak/test.ts
+++ b/packages/soak/src/runSoak/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import type { DeliberateBreak, FaultKind, PromiseName, SoakOptions } from '../types.js';
+import type { FaultKind, InjectedDefect, InvariantName, SoakOptions } from '../types.js';
 import { runSoak } from './index.js';
 
 function optionsFor(name: string, changes: Partial<SoakOptions> = {}): SoakOptions {
@@ -10,18 +10,18 @@
   return { ...base, ...changes };
 }
 
-// Real instances serve callers while processes and connections fail around them. Whatever fails, no
-// promise may be broken.
-test.serial('a short soak keeps every promise', async (t) => {
+// Real instances serve callers while processes and connections fail. No fault may cause a violation of
+// an invariant.
+test.serial('a short soak violates no invariant', async (t) => {
   const report = await runSoak(optionsFor('sound', { durationMs: 12_000 }));
   t.deepEqual(report.violations, []);
   t.true(report.served > 0);
 });
 
-// The platform asks an instance to stop a second time while its planned stop is under way. The second
-// signal ended the process at once, with all requests that it served (seed 218, 0.25 minutes).
-test.serial('an instance that is asked to stop twice still stops by plan', async (t) => {
-  const stop = { kind: 'stop', forMs: 8_500, target: 0 } as const;
+// The platform sends a second stop signal during the graceful shutdown of an instance. The second signal
+// used to end the process at once and cut off all its active requests (seed 218, 0.25 minutes).
+test.serial('a second stop signal does not interrupt the graceful shutdown', async (t) => {
+  const stop = { kind: 'stop', durationMs: 8_500, target: 0 } as const;
   const faults = [
     { ...stop, atMs: 1_500 },
     { ...stop, atMs: 2_300 },
@@ -30,34 +30,34 @@
   t.deepEqual(report.violations, []);
 });
 
-// Guards against a directory that goes on naming an instance whose power is gone.
-test.serial('an instance that lost power is soon named no more', async (t) => {
-  const faults = [{ kind: 'powerOff', atMs: 2_000, forMs: 9_500, target: 0 }] as const;
+// Guards against a directory that keeps listing an instance that lost power.
+test.serial('directories stop listing an instance that lost power', async (t) => {
+  const faults = [{ kind: 'powerOff', atMs: 2_000, durationMs: 9_500, target: 0 }] as const;
   const changes = { faults, instances: 3, durationMs: 11_500 };
   const report = await runSoak(optionsFor('powerOff', changes));
   t.deepEqual(report.violations, []);
 });
 
-// Guards against a directory that drops an instance since it cannot write heartbeats, though it
-// serves and its peers reach it.
-test.serial('an instance that the store turns away stays named', async (t) => {
-  const faults = [{ kind: 'storeTurnsAway', atMs: 2_000, forMs: 17_500, target: 0 }] as const;
+// Guards against a directory that drops an instance because it cannot write heartbeats to the store,
+// although it serves requests and its peers reach it.
+test.serial('directories keep listing an instance that cannot connect to the store', async (t) => {
+  const faults = [{ kind: 'storeTurnsAway', atMs: 2_000, durationMs: 17_500, target: 0 }] as const;
   const changes = { faults, instances: 3, durationMs: 19_500 };
   const report = await runSoak(optionsFor('turnedAway', changes));
   t.deepEqual(report.violations, []);
 });
 
-// Guards against instances that ignore the rate limit of an upstream, and against one that restarts and
-// does not know the limit.
-test.serial('upstreams that name a limit get no more than that', async (t) => {
-  const limit = { kind: 'limitUpstream', forMs: 20_000 } as const;
+// Guards against instances that ignore the rate limit of an upstream, and against a restarted instance
+// that does not know the limit.
+test.serial('upstreams receive no more requests than their rate limit allows', async (t) => {
+  const limit = { kind: 'limitUpstream', durationMs: 20_000 } as const;
   const faults = [
     { ...limit, atMs: 1_000, target: 32 },
     { ...limit, atMs: 1_200, target: 5 },
     { ...limit, atMs: 1_400, target: 6 },
-    { kind: 'kill', atMs: 8_000, forMs: 0, target: 1 },
-    { kind: 'powerOff', atMs: 10_000, forMs: 2_500, target: 2 },
-    { ...limit, atMs: 14_000, forMs: 4_000, target: 13 },
+    { kind: 'kill', atMs: 8_000, durationMs: 0, target: 1 },
+    { kind: 'powerOff', atMs: 10_000, durationMs: 2_500, target: 2 },
+    { ...limit, atMs: 14_000, durationMs: 4_000, target: 13 },
     { ...limit, atMs: 14_200, target: 16 },
   ] as const;
   const changes = { faults, instances: 4, durationMs: 20_000, requestsPerSecond: 120 };
@@ -66,34 +66,34 @@
   t.true(report.served > 0.5 * report.requests);
 });
 
-/** One planned fault in calm surroundings, for breaks of what happens then. */
-function only(kind: FaultKind, forMs = 0): Partial<SoakOptions> {
-  return { faults: [{ kind, atMs: 2_000, forMs, target: 0 }] };
+/** Options for a run with a single fault, for defects in how the system handles that fault. */
+function singleFault(kind: FaultKind, durationMs = 0): Partial<SoakOptions> {
+  return { faults: [{ kind, atMs: 2_000, durationMs, target: 0 }] };
 }
 
-/** Each deliberate break, the promise whose check has to find it, and the faults that it needs. */
-const breaks: readonly (readonly [DeliberateBreak, PromiseName, Partial<SoakOptions>])[] = [
+/** Each injected defect, the invariant whose check must detect it, and the options that it needs. */
+const defects: readonly (readonly [InjectedDefect, InvariantName, Partial<SoakOptions>])[] = [
   ['runTwice', 'atMostOnce', { faults: [] }],
   ['refuseAfterRun', 'trueRefusal', { faults: [] }],
   ['cutAnswer', 'wholeAnswer', { faults: [] }],
   ['raiseLimit', 'prepaid', { faults: [] }],
   ['repeatArrivals', 'retryBudget', { faults: [] }],
-  ['holdConfiguration', 'configuration', only('changeConfiguration')],
-  ['holdLeaving', 'leavingUpstream', only('leaveUpstream')],
-  ['hideLimit', 'upstreamLimit', only('limitUpstream', 6_000)],
-  ['killForStop', 'plannedStop', only('stop')],
-  ['nameGone', 'goneInstance', { ...only('powerOff', 9_000), durationMs: 10_500 }],
+  ['holdConfiguration', 'configuration', singleFault('changeConfiguration')],
+  ['holdLeaving', 'leavingUpstream', singleFault('leaveUpstream')],
+  ['hideLimit', 'upstreamLimit', singleFault('limitUpstream', 6_000)],
+  ['killForStop', 'plannedStop', singleFault('stop')],
+  ['nameGone', 'goneInstance', { ...singleFault('powerOff', 9_000), durationMs: 10_500 }],
   ['hideLive', 'liveInstance', { faults: [] }],
   ['refuseAll', 'served', { faults: [] }],
 ];
 
-// A check that cannot fail proves nothing: each promise is broken on purpose, without a word to the
-// checks, and has to be found within a short run.
-for (const [deliberateBreak, promise, faults] of breaks) {
-  test.serial(`the check of ${promise} finds ${deliberateBreak}`, async (t) => {
-    const changes = { ...faults, deliberateBreak, requestsPerSecond: 120 };
-    const report = await runSoak(optionsFor(deliberateBreak, changes));
-    const found = new Set(report.violations.map((violation) => violation.promise));
-    t.true(found.has(promise), `found ${[...found].join(', ')}`);
+// Guards against checks that cannot fail: each invariant is violated by an injected defect that the checks
+// do not know of, and the violation must be detected within a short run.
+for (const [injectedDefect, promise, defectOptions] of defects) {
+  test.serial(`the check of ${promise} detects the defect ${injectedDefect}`, async (t) => {
+    const changes = { ...defectOptions, injectedDefect, requestsPerSecond: 120 };
+    const report = await runSoak(optionsFor(injectedDefect, changes));
+    const violated = new Set(report.violations.map((violation) => violation.promise));
+    t.true(violated.has(promise), `violated: ${[...violated].join(', ')}`);
   });
 }
--- a/packages/soak/src/types.ts
+++ b/packages/soak/src/types.ts
@@ -1,98 +1,150 @@
 /**
- * What a soak run is asked for, and what it found.
+ * Options and report of a soak run.
  */
 
-/** A promise of the system that the soak checks from what callers and upstreams see. */
-export type PromiseName =
+/**
+ * An invariant that the system promises to keep. The soak checks it from what callers and upstreams
+ * observe.
+ */
+export type InvariantName =
+  /** A request that is not repeatable runs at most once. */
   | 'atMostOnce'
+  /** A request that is not repeatable and was refused never runs. */
   | 'trueRefusal'
+  /** A successful response is complete and belongs to its request. */
   | 'wholeAnswer'
+  /** A client account never spends more than its prepaid tokens. */
   | 'prepaid'
+  /** Retries to a service stay within the retry budget. */
   | 'retryBudget'
+  /** A changed configuration takes effect within the time limit. */
   | 'configuration'
+  /** An upstream that is draining soon receives no new requests. */
   | 'leavingUpstream'
+  /** All instances combined respect the rate limit of an upstream. */
   | 'upstreamLimit'
+  /** A graceful shutdown cuts off no request. */
   | 'plannedStop'
+  /** Directories stop listing an instance that lost power. */
   | 'goneInstance'
+  /** Directories list every other instance that is ready. */
   | 'liveInstance'
+  /** Most requests are served while no fault is active. */
   | 'served';
 
-/** One promise that did not hold. */
+/** One observed violation of an invariant. */
 export interface Violation {
-  readonly promise: PromiseName;
-  /** When it was seen, in milliseconds from the start of the run. */
+  /** The violated invariant. */
+  readonly promise: InvariantName;
+  /** Time of detection, in milliseconds from the start of the run. */
   readonly atMs: number;
+  /** Description with the observed values. */
   readonly what: string;
 }
 
-/** What the soak breaks on purpose, without telling its checks; only for tests of the checks. */
-export type DeliberateBreak =
+/**
+ * A defect that the soak simulates without informing its checks. Used only to test that each check
+ * detects a violation.
+ */
+export type InjectedDefect =
+  /** Sends some requests a second time with the same id. */
   | 'runTwice'
+  /** Reports some requests as refused after they ran. */
   | 'refuseAfterRun'
+  /** Truncates some response bodies. */
   | 'cutAnswer'
+  /** Configures 100 times the prepaid tokens that the check assumes. */
   | 'raiseLimit'
+  /** Sends some repeatable requests many more times. */
   | 'repeatArrivals'
+  /** Reports configuration changes as acknowledged without writing them. */
   | 'holdConfiguration'
+  /** Does not mark a leaving upstream as draining in the store. */
   | 'holdLeaving'
+  /** Omits the rate limit from the responses of the upstream. */
   | 'hideLimit'
+  /** Kills the process instead of stopping it gracefully. */
   | 'killForStop'
+  /** Lists all instances in every directory response. */
   | 'nameGone'
+  /** Lists only the queried instance in its directory response. */
   | 'hideLive'
+  /** Reports every request as refused without sending it. */
   | 'refuseAll';
 
-/** Kinds of faults. */
+/** Kind of an injected fault. */
 export type FaultKind =
+  /** Kills an instance (SIGKILL). */
   | 'kill'
+  /** Suspends an instance (SIGSTOP), then resumes it (SIGCONT). */
   | 'pause'
+  /** Suspends an instance, then kills it, as after a loss of power. */
   | 'powerOff'
+  /** Stops an instance gracefully (SIGTERM). */
   | 'stop'
+  /** Makes an instance reload (SIGHUP). */
   | 'reload'
+  /** The store answers every request with 503. */
   | 'storeAway'
+  /** The store delays every response. */
   | 'storeSlow'
+  /** The store executes some writes without sending the response. */
   | 'storeLosesAnswers'
+  /** Connections of one instance to the store are refused. */
   | 'storeTurnsAway'
+  /** The store rejects watches with 410, as if their history were gone. */
   | 'storeForgets'
+  /** Resets the open connections to an upstream. */
   | 'resetUpstream'
+  /** Open connections to an upstream stop transferring data but stay open. */
   | 'silenceUpstream'
+  /** Delays data to and from an upstream. */
   | 'delayUpstream'
+  /** Drops data from an upstream to the instances. */
   | 'cutUpstreamOneWay'
+  /** Drains and removes an upstream after adding a replacement. */
   | 'leaveUpstream'
+  /** Sets the rate limit of an upstream. */
   | 'limitUpstream'
+  /** Writes a new configuration version. */
   | 'changeConfiguration';
 
-/** One fault of a plan. */
+/** A fault scheduled for a run. */
 export interface PlannedFault {
   readonly kind: FaultKind;
-  /** When it begins, in milliseconds from the start of the load. */
+  /** Start time, in milliseconds from the start of the load. */
   readonly atMs: number;
-  readonly forMs: number;
-  /** Which instance or upstream; taken modulo how many there are. */
+  /** How long the fault lasts, in milliseconds; ignored for kinds that take effect at once. */
+  readonly durationMs: number;
+  /** Index of the affected instance or upstream, taken modulo their number. */
   readonly target: number;
 }
 
 /** Options of `runSoak`. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How long load and faults last, in milliseconds. */
+  /** Duration of load and faults, in milliseconds. */
   readonly durationMs: number;
   readonly instances: number;
-  /** Requests begun in a second, over all callers. */
+  /** Mean rate at which all callers together start requests. */
   readonly requestsPerSecond: number;
-  /** Where the processes' logs go. */
+  /** Directory for the settings files and logs of the processes. */
   readonly directory: string;
-  /** In place of the faults that the seed draws. */
+  /** Replaces the faults that are generated from the seed. */
   readonly faults?: readonly PlannedFault[];
-  readonly deliberateBreak?: DeliberateBreak;
+  readonly injectedDefect?: InjectedDefect;
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface SoakReport {
   readonly seed: number;
   readonly durationMs: number;
+  /** Number of requests that ended. */
   readonly requests: number;
   readonly served: number;
   readonly refused: number;
   readonly failed: number;
+  /** Number of injected faults by kind. */
   readonly faults: Readonly<Record<string, number>>;
   readonly violations: readonly Violation[];
 }
