--- a/packages/forwarding/src/FleetPrepaidPeers/index.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/index.ts
@@ -59,11 +59,11 @@
     return rest.find((id) => id !== this.#options.instanceId);
   }
 
-  override async ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
+  override async ask(peer: InstanceId, request: LoanRequest): Promise<LoanResponse | undefined> {
     const { rpc } = this.#options;
     try {
-      const asked = { kind: 'prepaidTokens', loan: question } as const;
-      const { lender, lentTokens, outcome } = await rpc.ask(peer, asked, {
+      const message = { kind: 'prepaidTokens', loan: request } as const;
+      const { lender, lentTokens, outcome } = await rpc.ask(peer, message, {
         timeoutMs: replyTimeoutMs,
       });
       if (this.#unreachableUntilMs.delete(peer)) this.#options.onReachabilityChange(peer, true);
@@ -77,10 +77,14 @@
   override serve(handler: LoanHandler): Disposable {
     return this.#options.rpc.answer('prepaidTokens', async ({ loan }) => ({
       kind: 'prepaidTokens',
-      ...(await this.#answer(loan, handler)),
+      ...(await this.#handleLoanRequest(loan, handler)),
     }));
   }
 
+  /**
+   * Ranks the instances that can be reached by the rendezvous hash of an account, so that
+   * instances with the same view of the fleet determine the same home without communication.
+   */
   #rankInstances(accountId: AccountId): readonly InstanceId[] {
     const candidates = this.#options.live().filter((id) => !this.#isUnreachable(id));
     const ranked = rankByKey(
@@ -94,14 +98,19 @@
    * Tokens lent after the timeout are reported by the next reply, since replies contain running
    * totals.
    */
-  async #answer(loan: LoanRequest, handler: LoanHandler): Promise<LoanResponse> {
-    const bounds = { kind: 'storeUnavailable', what: 'tokens for a peer' } as const;
-    const answering = handler(loan);
+  async #handleLoanRequest(loan: LoanRequest, handler: LoanHandler): Promise<LoanResponse> {
+    const timeoutOptions = { kind: 'storeUnavailable', what: 'tokens for a peer' } as const;
+    const pendingResponse = handler(loan);
     try {
-      return await withTimeout(this.#options.clock, storeTimeoutMs, () => answering, bounds);
+      return await withTimeout(
+        this.#options.clock,
+        storeTimeoutMs,
+        () => pendingResponse,
+        timeoutOptions,
+      );
     } catch {
-      const settled = await handler({ ...loan, neededTokens: 0, wantedTokens: 0 });
-      return { ...settled, outcome: 'storeAway' };
+      const totals = await handler({ ...loan, neededTokens: 0, wantedTokens: 0 });
+      return { ...totals, outcome: 'storeAway' };
     }
   }
 
--- a/packages/forwarding/src/FleetPrepaidPeers/test.ts
+++ b/packages/forwarding/src/FleetPrepaidPeers/test.ts
@@ -6,7 +6,7 @@
 
 const accountId = 'one' as AccountId;
 const ids = ['a', 'b', 'c'] as InstanceId[];
-const question: LoanRequest = {
+const request: LoanRequest = {
   accountId,
   borrower: 'a~1',
   limitVersion: 1,
@@ -73,31 +73,34 @@
   t.is(homes.size, 1);
 });
 
-// The home instance, which collects an account's tokens, stops responding. Without the fallback each request would wait
-// for it; after the first time-out the next instance in the ranking takes its place, until the home
-// responds again.
+// The home instance, at which an account's tokens are concentrated, stops responding. Without the
+// fallback each request would wait for it; after the first timeout the next instance in the ranking
+// takes its place, until the home responds again.
 test('a home that does not reply is skipped temporarily', async (t) => {
   const { clock, endpoints, reachabilityChanges } = startNetwork('silent');
   const home = endpoints.find(({ peers }) => peers.homeOf(accountId) === undefined);
-  const asker = endpoints.find((endpoint) => endpoint !== home);
-  if (home === undefined || asker === undefined) return;
+  const borrower = endpoints.find((endpoint) => endpoint !== home);
+  if (home === undefined || borrower === undefined) return;
   home.peers.serve(() => Promise.resolve(lent(10)));
   home.links.isSilent = true;
-  t.is(await clock.runUntil(asker.peers.ask(home.id, question)), undefined);
-  t.not(asker.peers.homeOf(accountId), home.id);
+  t.is(await clock.runUntil(borrower.peers.ask(home.id, request)), undefined);
+  t.not(borrower.peers.homeOf(accountId), home.id);
   home.links.isSilent = false;
   await clock.advance(2_000);
-  t.is(asker.peers.homeOf(accountId), home.id);
-  t.deepEqual(await clock.runUntil(asker.peers.ask(home.id, question)), lent(10));
-  t.deepEqual(reachabilityChanges, [`${asker.id}-${home.id} false`, `${asker.id}-${home.id} true`]);
+  t.is(borrower.peers.homeOf(accountId), home.id);
+  t.deepEqual(await clock.runUntil(borrower.peers.ask(home.id, request)), lent(10));
+  t.deepEqual(reachabilityChanges, [
+    `${borrower.id}-${home.id} false`,
+    `${borrower.id}-${home.id} true`,
+  ]);
 });
 
-// The home instance has to ask a slow store before it can lend tokens. The peer must not consider
+// The home instance has to ask a slow store before it can lend tokens. The borrower must not consider
 // it unreachable, and learns of the loan from the next reply.
 test('a home that waits for the store replies before the timeout', async (t) => {
   const { clock, endpoints } = startNetwork('slow');
-  const [asker, home] = endpoints;
-  if (asker === undefined || home === undefined) return;
+  const [borrower, home] = endpoints;
+  if (borrower === undefined || home === undefined) return;
   let total = 0;
   home.peers.serve(async ({ neededTokens }) => {
     if (neededTokens === 0) return lent(total);
@@ -105,9 +108,9 @@
     total += neededTokens;
     return lent(total);
   });
-  const first = await clock.runUntil(asker.peers.ask(home.id, question));
+  const first = await clock.runUntil(borrower.peers.ask(home.id, request));
   t.is(first?.outcome, 'storeAway');
   await clock.advance(500);
-  const next = await clock.runUntil(asker.peers.ask(home.id, { ...question, neededTokens: 0 }));
+  const next = await clock.runUntil(borrower.peers.ask(home.id, { ...request, neededTokens: 0 }));
   t.is(next?.lentTokens, 10);
 });
--- a/packages/forwarding/src/ForwardHandler/index.ts
+++ b/packages/forwarding/src/ForwardHandler/index.ts
@@ -154,20 +154,20 @@
     return {
       request,
       response,
-      writer: this.#writer(response),
+      writer: this.#createWriter(response),
       head,
       route,
       service: this.#chooseService(routes, route),
       account,
       body,
       deadlineMs: trace.receivedMs + waitMs,
-      disconnectSignal: disconnectSignal(response),
+      disconnectSignal: createDisconnectSignal(response),
       trace,
       progress: { mayHaveRun: false, sendCount: 0, events: 0, lastEventId: undefined },
     };
   }
 
-  #writer(response: ServerResponse): CallerWriter {
+  #createWriter(response: ServerResponse): CallerWriter {
     const { clock, metrics } = this.#options;
     const onStall = () => {
       metrics.count('stalledCallers');
@@ -193,9 +193,9 @@
     try {
       await new Dispatch(this.#dispatchDependencies, call).run();
     } finally {
-      const usedTokenCount = usedTokens(call, tokens);
-      this.#options.tokens.settle(reservation, usedTokenCount);
-      call.trace.add('settled', { tokens: usedTokenCount, reservedTokens: maxTokens });
+      const usedTokens = countUsedTokens(call, tokens);
+      this.#options.tokens.settle(reservation, usedTokens);
+      call.trace.add('settled', { tokens: usedTokens, reservedTokens: maxTokens });
     }
   }
 
@@ -300,7 +300,7 @@
  * Returns the tokens that a request used: its prompt if it was sent, and the full size of each
  * event that arrived.
  */
-function usedTokens({ progress, service }: ForwardCall, tokens: TokenDemand): number {
+function countUsedTokens({ progress, service }: ForwardCall, tokens: TokenDemand): number {
   if (progress.sendCount === 0) return 0;
   if (progress.events === 0 && !progress.mayHaveRun) return 0;
   const perEvent = service.engine?.tokensPerEvent ?? 1;
@@ -322,7 +322,7 @@
 }
 
 /** Returns a signal that is aborted when the connection closes before the response is complete. */
-function disconnectSignal(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
     if (!response.writableFinished) abort.abort();
--- a/packages/forwarding/src/ForwardingInstance/index.ts
+++ b/packages/forwarding/src/ForwardingInstance/index.ts
@@ -42,9 +42,11 @@
   readonly callers: { readonly ip: string; readonly port: number };
   /** Address that listens for connections from other instances. */
   readonly fleet: { readonly ip: string; readonly port: number };
-  /** Limit on the retries that a service may receive from all instances combined. */
+  /** Limits on the retries that a service may receive from all instances combined. */
   readonly repeats: {
+    /** Retries allowed for each request in the window. */
     readonly perRequest: number;
+    /** Additional retries allowed per window, for all instances combined. */
     readonly free: number;
     readonly windowMs: number;
   };
@@ -73,7 +75,8 @@
  */
 const linkKeyBytes = 32;
 /**
- * Distinguishes connections between forwarding instances from those of the product's other routers.
+ * Distinguishes connections between forwarding instances from those between the product's other
+ * routers.
  */
 const linkEnvironment = 'forwarding';
 /**
@@ -123,7 +126,7 @@
   readonly #handler: ForwardHandler;
   readonly #server: Server;
   readonly #links: WsFleetLinks;
-  readonly #limitSpread: UpstreamLimitGossip;
+  readonly #limitGossip: UpstreamLimitGossip;
   readonly #directoryLog: DirectoryLog;
   readonly #linkKey = randomBytes(linkKeyBytes).toString('hex');
   /** The stored object of the current configuration, for peers that cannot reach the store. */
@@ -140,7 +143,7 @@
     this.fleet = this.#createFleet(processRun);
     this.#configurationFollower = this.#followConfiguration();
     this.upstreams = this.#createUpstreamTable();
-    this.#limitSpread = new UpstreamLimitGossip({
+    this.#limitGossip = new UpstreamLimitGossip({
       links: this.#links,
       clock,
       random,
@@ -243,8 +246,8 @@
     this.#startTask('configuration', this.#configurationFollower);
     this.#startTask('upstreams', upstreams);
     this.#startTask('fleet', this.fleet);
-    this.#startTask('upstreams of peers', this.#createUpstreamSpread(upstreams));
-    this.#startTask('upstream limits', this.#limitSpread);
+    this.#startTask('upstreams of peers', this.#createPeerUpstreamSync(upstreams));
+    this.#startTask('upstream limits', this.#limitGossip);
     this.#startTask('tokens', this.tokens);
   }
 
@@ -323,7 +326,7 @@
     const links = this.#links;
     const shared = { store, links, clock, random, log, metrics };
     const onPeerLive = (peer: InstanceId) => {
-      this.#limitSpread.sendAllTo(peer);
+      this.#limitGossip.sendAllTo(peer);
     };
     return new InstanceFleet({ ...shared, self, configuration, isStoreUnavailable, onPeerLive });
   }
@@ -347,7 +350,7 @@
 
   #announceLimit({ upstreamId }: UpstreamChange): void {
     const upstream = this.upstreams.get(upstreamId);
-    if (upstream !== undefined) this.#limitSpread.announce(upstream);
+    if (upstream !== undefined) this.#limitGossip.announce(upstream);
   }
 
   get #livePeers(): readonly InstanceId[] {
@@ -476,7 +479,7 @@
     });
   }
 
-  #createUpstreamSpread(follower: ObjectFollower): PeerUpstreamSync {
+  #createPeerUpstreamSync(follower: ObjectFollower): PeerUpstreamSync {
     const { clock, random } = this.#options;
     return new PeerUpstreamSync({
       rpc: this.fleet.rpc,
--- a/packages/forwarding/src/UpstreamTable/index.ts
+++ b/packages/forwarding/src/UpstreamTable/index.ts
@@ -8,7 +8,11 @@
 export interface UpstreamChange {
   readonly upstreamId: UpstreamId;
   readonly service: ServiceName;
-  /** `lapsed`: its record expired; `leftOut`: it was ejected. */
+  /**
+   * `seen`: a new record; `startedAgain`: a different run under the same id; `leaving`: it is
+   * draining; `lapsed`: its record disappeared, but it stays usable for a grace period; `gone`: it
+   * was removed; `leftOut`: it was ejected.
+   */
   readonly what: 'seen' | 'startedAgain' | 'leaving' | 'lapsed' | 'gone' | 'leftOut' | LimitChange;
   /**
    * Requests per second that the upstream accepts from all instances combined; undefined if it sets
@@ -55,7 +59,8 @@
   /** Number of instances that share connections, and when it was determined. */
   #instanceCount = { value: 1, atMs: -Infinity };
   #isStoreUnavailable = false;
-  #storeRegainedMs = -Infinity;
+  /** When the store last became available again, on the monotonic clock. */
+  #storeAvailableSinceMs = -Infinity;
 
   constructor(options: UpstreamTableOptions) {
     this.#options = options;
@@ -84,7 +89,7 @@
   /** Records that the store responds again, and starts the grace period of expired records. */
   markStoreAvailable(): void {
     this.#isStoreUnavailable = false;
-    this.#storeRegainedMs = this.#options.clock.monotonicMs();
+    this.#storeAvailableSinceMs = this.#options.clock.monotonicMs();
     for (const id of [...this.#expired.keys()]) this.#startGracePeriod(id);
   }
 
@@ -131,8 +136,8 @@
   remove(id: UpstreamId): void {
     const upstream = this.#byId.get(id);
     if (upstream === undefined || this.#expired.has(id)) return;
-    const sinceRegainedMs = this.#options.clock.monotonicMs() - this.#storeRegainedMs;
-    if (!this.#isStoreUnavailable && sinceRegainedMs >= expiredRecordGraceMs) {
+    const availableForMs = this.#options.clock.monotonicMs() - this.#storeAvailableSinceMs;
+    if (!this.#isStoreUnavailable && availableForMs >= expiredRecordGraceMs) {
       this.#removeUpstream(upstream);
       return;
     }
@@ -183,7 +188,7 @@
   #startGracePeriod(id: UpstreamId): void {
     const { clock } = this.#options;
     this.#expired.get(id)?.[Symbol.dispose]();
-    const remainingMs = this.#storeRegainedMs + expiredRecordGraceMs - clock.monotonicMs();
+    const remainingMs = this.#storeAvailableSinceMs + expiredRecordGraceMs - clock.monotonicMs();
     const timer = clock.schedule(remainingMs, () => {
       this.#expired.delete(id);
       const upstream = this.#byId.get(id);
--- a/packages/forwarding/src/_lib/Attempt/index.ts
+++ b/packages/forwarding/src/_lib/Attempt/index.ts
@@ -33,7 +33,9 @@
   | { readonly kind: 'broken'; readonly reason: string }
   /** Aborted by this instance in order to try another upstream, since no data arrived in time. */
   | { readonly kind: 'silent' }
+  /** The deadline of the request passed; `wasSent`: the request may have reached the upstream. */
   | { readonly kind: 'deadline'; readonly wasSent: boolean }
+  /** The caller disconnected; `wasSent` as for `deadline`. */
   | { readonly kind: 'callerGone'; readonly wasSent: boolean };
 
 /** Options of {@link Attempt}. */
@@ -62,6 +64,7 @@
 /** Why this instance aborted an attempt. */
 type AbortReason = 'silent' | 'deadline' | 'callerGone';
 
+/** Sends one request to one upstream, and relays or buffers the response. */
 export class Attempt {
   readonly #options: AttemptOptions;
   readonly #abort = new AbortController();
--- a/packages/forwarding/src/_lib/RequestTrace/index.ts
+++ b/packages/forwarding/src/_lib/RequestTrace/index.ts
@@ -25,6 +25,7 @@
     return Math.round(this.#clock.monotonicMs() - this.receivedMs);
   }
 
+  /** Adds a step; steps beyond the maximum are dropped. */
   add(decision: string, details: TraceStep = {}): void {
     if (this.steps.length < maxSteps)
       this.steps.push({ did: decision, atMs: this.elapsedMs, ...details });
--- a/packages/forwarding/src/_lib/Upstream/index.ts
+++ b/packages/forwarding/src/_lib/Upstream/index.ts
@@ -60,7 +60,7 @@
 /** An upstream with its connections and state. */
 export class Upstream implements AsyncDisposable, EngineLoad {
   record: UpstreamRecord;
-  /** Whether the upstream is draining according to the store, so that it gets no new requests. */
+  /** Whether the upstream is draining or was removed, so that it gets no new requests. */
   isLeaving: boolean;
   /** The load that it last reported, with the time of the report. */
   load: { readonly report: ReportedLoad; readonly atMs: number } | undefined;
@@ -115,6 +115,7 @@
     return this.inFlight.size;
   }
 
+  /** `IP:PORT` of this upstream. */
   get address(): string {
     return `${this.record.ip}:${this.record.port}`;
   }
--- a/packages/forwarding/src/_lib/chooseDirectoryInstances/index.ts
+++ b/packages/forwarding/src/_lib/chooseDirectoryInstances/index.ts
@@ -15,7 +15,8 @@
 }
 
 /**
- * Chooses the instances in a directory response.
+ * Chooses the instances in a directory response, the list from which a caller selects the instance
+ * that it sends requests to.
  *
  * An instance that reaches neither the store nor any other instance is most likely partitioned from
  * the rest. So is one that reaches only a minority of the others and has run out of tokens. It
--- a/packages/forwarding/src/_lib/pickUpstream/index.ts
+++ b/packages/forwarding/src/_lib/pickUpstream/index.ts
@@ -104,12 +104,12 @@
   const sharedCopyMs = copyMs(sharedTokens, request.engine);
   const isCopied = holder !== undefined && sharedCopyMs < maxCopyTimeShare * sharedPartsMs;
   const isSharedCached = holders.has(upstream.id);
-  const sharedPartMs = isCopied ? sharedCopyMs : sharedPartsMs;
+  const obtainSharedMs = isCopied ? sharedCopyMs : sharedPartsMs;
   return {
     upstream,
     fetchFrom: isCopied ? holder.address : undefined,
     prefill: {
-      expectedMs: ownMs + (isSharedCached ? 0 : sharedPartMs),
+      expectedMs: ownMs + (isSharedCached ? 0 : obtainSharedMs),
       promptTokens,
       newTokens: ownTokens,
       isSharedCached,
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Forwards opaque requests, plain and streamed, to the upstreams of the matching route.
+ * Forwards requests, plain and streamed, to the upstreams of the matching route. The bodies of requests
+ * are not parsed.
  */
 export type * from './types.js';
 export * from './ForwardCodec/index.js';
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -50,7 +50,9 @@
 
 /** Properties of a service's engines, servers that run a language model. */
 export interface EngineTraits {
+  /** Number of requests that an engine runs at the same time. */
   readonly slots: number;
+  /** Number of tokens that the cache of an engine holds. */
   readonly cacheTokens: number;
   /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
@@ -103,6 +105,7 @@
   readonly ip: string;
   readonly port: number;
   readonly failureDomain: FailureDomainId;
+  /** Number of requests that the upstream runs at the same time. */
   readonly slots: number;
   readonly state: 'live' | 'leaving';
   /**
@@ -139,8 +142,11 @@
 
 /** The load that an upstream reports in a response. */
 export interface ReportedLoad {
+  /** Number of running requests. */
   readonly running: number;
+  /** Number of requests that wait for a slot. */
   readonly waiting: number;
+  /** Number of requests that the upstream runs at the same time. */
   readonly slots: number;
 }
 
