--- a/packages/ledger/src/PageWriter/test.ts
+++ b/packages/ledger/src/PageWriter/test.ts
@@ -39,7 +39,7 @@
   reads = 0;
   writes = 0;
   conflictsToReturn = 0;
-  answersToLose = 0;
+  responsesToLose = 0;
   isDown = false;
 
   override read(): Promise<StoredObject | undefined> {
@@ -56,8 +56,8 @@
     }
     const version = (this.stored?.version ?? 0) + 1;
     this.stored = { key, version, value };
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
+    if (this.responsesToLose > 0) {
+      this.responsesToLose -= 1;
       return Promise.reject(createUnavailableError());
     }
     return Promise.resolve({ outcome: 'written', version });
@@ -92,7 +92,7 @@
 // for the same operation: the budget would show fewer available tokens than it has.
 test('a write whose response was lost is recognised and not repeated', async (t) => {
   const { clock, store, writer } = start();
-  store.answersToLose = 1;
+  store.responsesToLose = 1;
   const [result] = await clock.runUntil(writer.submit('p', [grant('g1')]));
   t.deepEqual(result, { kind: 'granted', tokens: 10, availableTokens: 990 });
   t.is(store.writes, 1);
--- a/packages/ledger/src/PrepaidAccount/index.ts
+++ b/packages/ledger/src/PrepaidAccount/index.ts
@@ -25,12 +25,20 @@
 import { instanceIdOf, processRunKey } from '../prepaidPage/index.js';
 import type { ProcessRun } from '../types.js';
 
-/** The outcome of an attempt to reserve tokens. */
+/**
+ * The outcome of an attempt to reserve tokens. `exhausted`: the tokens of the account that are neither
+ * spent nor reserved are too few; `heldElsewhere`: enough are left, but this instance could not acquire
+ * them, usually because other instances hold them; `storeAway`: the store is unavailable.
+ */
 export type ReserveOutcome = 'reserved' | 'exhausted' | 'heldElsewhere' | 'storeAway';
 
 /** A change of the tokens that this instance may spend, for logs. */
 export interface GrantEvent {
   readonly accountId: AccountId;
+  /**
+   * `denied`: the store has too few ungranted tokens; `unknown`: a call to the store failed, and a write
+   * may have taken effect; `lent`: borrowed tokens were returned to the home.
+   */
   readonly what: 'granted' | 'returned' | 'denied' | 'unknown' | 'borrowed' | 'lent';
   readonly tokens: number;
   /** Tokens of the account that were not granted to any instance at that time; undefined if unknown. */
@@ -104,6 +112,7 @@
   #isMembershipKnown = false;
   /** Since when the store has been available, on the monotonic clock. */
   #storeHealthySinceMs: number;
+  /** Whether spending is suspended until the sum of grants does not exceed a lowered limit. */
   #isSuspended = false;
   readonly #exhaustion = new ExhaustionCache<ReserveOutcome>();
   #pendingUpdate: Promise<ReserveOutcome> | undefined;
@@ -192,11 +201,11 @@
   }
 
   /** Handles the request of a peer: accounts for tokens that it passed on, and lends what it needs. */
-  async handleLoanRequest(question: LoanRequest): Promise<LoanResponse> {
+  async handleLoanRequest(request: LoanRequest): Promise<LoanResponse> {
     const lender = this.#ownRunKey;
-    if (question.givenTo === lender) this.#receiveLoan(question.borrower, question.givenTokens);
-    const outcome = await this.#lend(question);
-    return { lender, lentTokens: this.#loans.totalLentTo(question.borrower), outcome };
+    if (request.givenTo === lender) this.#receiveLoan(request.borrower, request.givenTokens);
+    const outcome = await this.#lend(request);
+    return { lender, lentTokens: this.#loans.totalLentTo(request.borrower), outcome };
   }
 
   /** Updates the known totals from a listed page, which may be seconds old. */
@@ -305,20 +314,20 @@
     const wanted =
       this.#loanRequestsInFlight > 0 ? 0 : Math.max(0, this.#targetStock() - this.stockTokens);
     this.#loanRequestsInFlight += 1;
-    const answer = await this.#requestLoan(peer, this.#createLoanRequest(missing, wanted));
+    const response = await this.#requestLoan(peer, this.#createLoanRequest(missing, wanted));
     this.#loanRequestsInFlight -= 1;
-    if (answer === undefined) return undefined;
-    this.#lastLender = answer.lender;
-    return answer.outcome;
+    if (response === undefined) return undefined;
+    this.#lastLender = response.lender;
+    return response.outcome;
   }
 
   /** Asks a peer for a loan and receives it; undefined if the peer does not respond. */
-  async #requestLoan(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
-    const answer = await this.#options.peers.ask(peer, question);
-    if (answer === undefined) return undefined;
-    const taken = this.#receiveLoan(answer.lender, answer.lentTokens);
+  async #requestLoan(peer: InstanceId, request: LoanRequest): Promise<LoanResponse | undefined> {
+    const response = await this.#options.peers.ask(peer, request);
+    if (response === undefined) return undefined;
+    const taken = this.#receiveLoan(response.lender, response.lentTokens);
     if (taken > 0) this.#report('borrowed', taken);
-    return answer;
+    return response;
   }
 
   #createLoanRequest(neededTokens: number, wantedTokens: number): LoanRequest {
@@ -339,8 +348,8 @@
     return taken;
   }
 
-  async #lend(question: LoanRequest): Promise<LoanOutcome> {
-    const { neededTokens, wantedTokens, limitVersion, borrower } = question;
+  async #lend(request: LoanRequest): Promise<LoanOutcome> {
+    const { neededTokens, wantedTokens, limitVersion, borrower } = request;
     if (neededTokens + wantedTokens <= 0) return 'lent';
     // Tokens that were granted under an older limit must not be lent to a borrower with a newer one.
     if (limitVersion > this.#limit.version) return 'behind';
@@ -381,9 +390,9 @@
       if (this.stockTokens >= neededTokens) break;
       const missing = Math.ceil(neededTokens - this.stockTokens);
       // Ask for stock: for a need, the holder would call the store, which has no more tokens.
-      const answer = await this.#requestLoan(holder, this.#createLoanRequest(0, missing));
+      const response = await this.#requestLoan(holder, this.#createLoanRequest(0, missing));
       // Stop, since a request is waiting and a missing response suggests that no peer can be reached.
-      if (answer === undefined) break;
+      if (response === undefined) break;
     }
     return this.stockTokens >= neededTokens && this.isHome;
   }
@@ -504,14 +513,14 @@
     const { peers, accountId } = this.#options;
     const home = peers.homeOf(accountId);
     if (home === undefined || this.#loans.balanceTokens <= 0) return;
-    const answer = await peers.ask(home, this.#createLoanRequest(0, 0));
-    if (answer === undefined) return;
-    this.#lastLender = answer.lender;
-    this.#receiveLoan(answer.lender, answer.lentTokens);
+    const response = await peers.ask(home, this.#createLoanRequest(0, 0));
+    if (response === undefined) return;
+    this.#lastLender = response.lender;
+    this.#receiveLoan(response.lender, response.lentTokens);
     const idle = Math.floor(this.stockTokens - keptTokens);
     const returned = Math.min(idle, this.#loans.balanceTokens);
     if (returned <= 0) return;
-    this.#loans.lend(answer.lender, returned);
+    this.#loans.lend(response.lender, returned);
     this.#report('lent', returned);
     await peers.ask(home, this.#createLoanRequest(0, 0));
   }
--- a/packages/ledger/src/PrepaidAccounts/index.ts
+++ b/packages/ledger/src/PrepaidAccounts/index.ts
@@ -32,8 +32,8 @@
 
   constructor(options: PrepaidAccountsOptions) {
     this.#options = options;
-    this.#peerHandlerRegistration = options.peers.serve((question) =>
-      this.#handleLoanRequest(question),
+    this.#peerHandlerRegistration = options.peers.serve((request) =>
+      this.#handleLoanRequest(request),
     );
   }
 
@@ -109,9 +109,9 @@
     this.#peerHandlerRegistration[Symbol.dispose]();
   }
 
-  async #handleLoanRequest(question: LoanRequest): Promise<LoanResponse> {
-    const account = this.#accounts.get(question.accountId);
-    if (account !== undefined) return account.handleLoanRequest(question);
+  async #handleLoanRequest(request: LoanRequest): Promise<LoanResponse> {
+    const account = this.#accounts.get(request.accountId);
+    if (account !== undefined) return account.handleLoanRequest(request);
     return { lender: processRunKey(this.#options.processRun), lentTokens: 0, outcome: 'behind' };
   }
 
--- a/packages/ledger/src/PrepaidPeers/index.ts
+++ b/packages/ledger/src/PrepaidPeers/index.ts
@@ -17,7 +17,10 @@
   readonly wantedTokens: number;
 }
 
-/** The outcome of a request for tokens; `behind` means that the peer has an older configuration. */
+/**
+ * The outcome of a request for tokens: `behind` means that the peer has an older configuration; the other
+ * reasons why nothing was lent are those of `ReserveOutcome`.
+ */
 export type LoanOutcome = 'lent' | 'exhausted' | 'heldElsewhere' | 'storeAway' | 'behind';
 
 /** The response of a peer. */
@@ -30,7 +33,7 @@
 }
 
 /** Handles the request of a peer. */
-export type LoanHandler = (question: LoanRequest) => Promise<LoanResponse>;
+export type LoanHandler = (request: LoanRequest) => Promise<LoanResponse>;
 
 /**
  * Communication with the other instances about prepaid tokens.
@@ -59,10 +62,10 @@
    * Asks a peer for tokens, or informs it of tokens that were passed on to it.
    *
    * @param peer - the peer to ask
-   * @param question - the request
+   * @param request - the tokens to lend, and those passed on to the peer so far
    * @returns the response; undefined if none arrived in time
    */
-  abstract ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined>;
+  abstract ask(peer: InstanceId, request: LoanRequest): Promise<LoanResponse | undefined>;
 
   /**
    * Registers the handler for requests of peers.
--- a/packages/ledger/src/applyOperation/test.ts
+++ b/packages/ledger/src/applyOperation/test.ts
@@ -75,9 +75,9 @@
 test('a bill whose grant was reclaimed is charged only up to the available tokens', (t) => {
   const granted = run(emptyPage, grant('g1', 60)).page;
   const lateMs = 2_051;
-  const retaken = run(granted, { ...grant('g2', 90), expiresAtMs: 9_000 }, lateMs);
-  t.deepEqual(retaken.result, { kind: 'granted', tokens: 90, availableTokens: 10 });
-  const late = run(retaken.page, bill('g1', 'k', 'r1', 60), lateMs);
+  const regranted = run(granted, { ...grant('g2', 90), expiresAtMs: 9_000 }, lateMs);
+  t.deepEqual(regranted.result, { kind: 'granted', tokens: 90, availableTokens: 10 });
+  const late = run(regranted.page, bill('g1', 'k', 'r1', 60), lateMs);
   t.deepEqual(late.result, {
     kind: 'billed',
     chargedTokens: 10,
@@ -99,7 +99,7 @@
 // Applied twice, it would return tokens that a running request spends.
 test('a return is applied once per number', (t) => {
   const granted = run(emptyPage, grant('g1', 60)).page;
-  const giveBack = (returnNumber: number): PageOperation => ({
+  const createReturn = (returnNumber: number): PageOperation => ({
     kind: 'return',
     budget,
     grantId: 'g1' as GrantId,
@@ -107,11 +107,11 @@
     returnNumber,
     tokens: 20,
   });
-  const once = run(granted, giveBack(2)).page;
+  const once = run(granted, createReturn(2)).page;
   t.is(once.budgets.b?.grants.g1?.tokens, 40);
-  t.is(run(once, giveBack(2)).page, once);
-  t.is(run(once, giveBack(1)).page, once);
-  t.is(run(once, giveBack(3)).page.budgets.b?.grants.g1?.tokens, 20);
+  t.is(run(once, createReturn(2)).page, once);
+  t.is(run(once, createReturn(1)).page, once);
+  t.is(run(once, createReturn(3)).page.budgets.b?.grants.g1?.tokens, 20);
 });
 
 test('a renewal neither restores a removed grant nor shortens an existing one', (t) => {
@@ -136,7 +136,7 @@
   const refill = { ...grant('g1', 90), ...shares, minTokens: 0 };
   t.like(run(emptyPage, refill).result, { kind: 'granted', tokens: 20 });
   t.like(run(emptyPage, { ...refill, minTokens: 70 }).result, { kind: 'granted', tokens: 70 });
-  const away = { ...grant('g0', 25), holder: 'i2' as InstanceId };
+  const unreachable = { ...grant('g0', 25), holder: 'i2' as InstanceId };
   // The 25 tokens of the unreachable holder count as 50, which uses up the total share of one half.
-  t.is(run(run(emptyPage, away).page, refill).result.kind, 'denied');
+  t.is(run(run(emptyPage, unreachable).page, refill).result.kind, 'denied');
 });
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,5 +1,8 @@
 /**
  * Token budgets: pages in the store, grants, reservations, bills and request records.
+ *
+ * `BudgetLedger` bills each request durably. `PrepaidAccounts` writes nothing per request: it stores only
+ * how many tokens each process run may spend.
  */
 export type * from './types.js';
 export * from './pageSchema/index.js';
--- a/packages/ledger/src/prepaidPage/index.ts
+++ b/packages/ledger/src/prepaidPage/index.ts
@@ -65,7 +65,7 @@
  * The sum of tokens that are spent or reserved, as last reported in the page.
  *
  * @example
- * boundAtLeast({ endedTokens: 5, grants: { a: { grantedTokens: 10, boundTokens: 1 } } });
+ * reportedBoundTotal({ endedTokens: 5, grants: { a: { grantedTokens: 10, boundTokens: 1 } } });
  * //=> 6
  */
 export function reportedBoundTotal(page: PrepaidPage): number {
--- a/packages/ledger/src/types.ts
+++ b/packages/ledger/src/types.ts
@@ -33,16 +33,22 @@
 export interface PageBill {
   readonly requestId: RequestId;
   readonly tokens: number;
+  /** Digest of the request body, which shows whether the key was reused for another request. */
   readonly bodyDigest: string;
   readonly atMs: number;
 }
 
 /** A budget as stored in a page. */
 export interface PageBudget {
+  /** All tokens that were paid for: the opening tokens and all top-ups. */
   readonly prepaidTokens: number;
+  /** Tokens that were billed. */
   readonly settledTokens: number;
+  /** Added tokens by top-up id. */
   readonly topUps: Readonly<Record<string, number>>;
+  /** By grant id. */
   readonly grants: Readonly<Record<string, PageGrant>>;
+  /** By request key. */
   readonly bills: Readonly<Record<string, PageBill>>;
 }
 
