--- a/packages/soak/src/_lib/CallerLoad/index.ts
+++ b/packages/soak/src/_lib/CallerLoad/index.ts
@@ -108,7 +108,7 @@
       ? await this.#sendWithDefect(target, kind, injectedDefect)
       : await this.#send(target, 'a body');
     const result = classifyResponse(response, id, kind);
-    observations.end({
+    observations.noteCallEnd({
       id,
       path: kind.path,
       isRepeatable: kind.isRepeatable,
--- a/packages/soak/src/_lib/FakeUpstream/index.ts
+++ b/packages/soak/src/_lib/FakeUpstream/index.ts
@@ -70,7 +70,7 @@
     const kind = requestKinds.find(({ path }) => request.url?.startsWith(path));
     const promptTokens = Number(String(request.headers['x-token-count'] ?? '0').split(',')[0]);
     const account = String(request.headers['x-tenant'] ?? '');
-    observations.run(id, kind?.isRepeatable ?? false, account, promptTokens);
+    observations.noteRun(id, kind?.isRepeatable ?? false, account, promptTokens);
     if (kind?.isStream === true) await this.#stream(id, request, response);
     else {
       await sleep(delaysMs.plain);
--- a/packages/soak/src/_lib/FaultInjector/index.ts
+++ b/packages/soak/src/_lib/FaultInjector/index.ts
@@ -47,7 +47,7 @@
         return;
       case 'powerOff':
         observations.noteDisturbance(fault.durationMs);
-        observations.directoryCheck.powerOff(index);
+        observations.directoryCheck.notePowerOff(index);
         process.powerOff(fault.durationMs);
         return;
       case 'stop':
--- a/packages/soak/src/_lib/InstanceProcess/index.ts
+++ b/packages/soak/src/_lib/InstanceProcess/index.ts
@@ -52,7 +52,7 @@
   }
 
   /** Summary of the process state and its exits, for the error when the instance is not ready in time. */
-  get account(): string {
+  get stateSummary(): string {
     const { name } = this.#options;
     const pid = this.#child?.pid;
     const state = pid === undefined ? 'is not running' : `is running with pid ${pid}`;
--- a/packages/soak/src/_lib/NamingCheck/index.ts
+++ b/packages/soak/src/_lib/NamingCheck/index.ts
@@ -33,7 +33,7 @@
   }
 
   /** Records that an instance loses power. */
-  powerOff(instance: number): void {
+  notePowerOff(instance: number): void {
     this.#poweredOffSinceMs.set(instance, this.#options.now());
   }
 
--- a/packages/soak/src/_lib/Observations/index.ts
+++ b/packages/soak/src/_lib/Observations/index.ts
@@ -112,7 +112,7 @@
   }
 
   /** Records that an upstream ran a request. */
-  run(id: string, isRepeatable: boolean, account: string, promptTokens: number): void {
+  noteRun(id: string, isRepeatable: boolean, account: string, promptTokens: number): void {
     const runs = this.#runs.get(id) ?? { count: 0, account, promptTokens };
     runs.count += 1;
     this.#runs.set(id, runs);
@@ -124,7 +124,7 @@
   }
 
   /** Records how a request ended for its caller. */
-  end(call: ObservedCall): void {
+  noteCallEnd(call: ObservedCall): void {
     this.calls.push(call);
     this.#eventsByAccount.set(
       call.account,
--- a/packages/soak/src/_lib/SoakEnvironment/index.ts
+++ b/packages/soak/src/_lib/SoakEnvironment/index.ts
@@ -170,5 +170,5 @@
     await sleep(50);
   }
   const { timeoutMs: waitedMs } = startupTimes;
-  throw new Error(`instance not ready within ${waitedMs} ms: ${reason}; ${process.account}`);
+  throw new Error(`instance not ready within ${waitedMs} ms: ${reason}; ${process.stateSummary}`);
 }
