--- a/packages/soak/src/_lib/DirectoryWatch/index.ts
+++ b/packages/soak/src/_lib/DirectoryPoller/index.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { InjectedDefect } from '../../types.js';
 import type { InstancePorts } from '../InstanceProcess/index.js';
-import type { DirectoryCheck, InstancePoll } from '../NamingCheck/index.js';
+import type { DirectoryCheck, InstancePoll } from '../DirectoryCheck/index.js';
 
 /** Options of {@link DirectoryPoller}. */
 export interface DirectoryPollerOptions {
--- a/packages/soak/src/_lib/Observations/index.ts
+++ b/packages/soak/src/_lib/Observations/index.ts
@@ -2,7 +2,7 @@
 import { accounts, movedRouteService, tokensPerEvent } from '../buildSoakConfiguration/index.js';
 import { bounds, toleranceMs } from '../InstanceProcess/index.js';
 import { LimitCheck } from '../LimitCheck/index.js';
-import { DirectoryCheck } from '../NamingCheck/index.js';
+import { DirectoryCheck } from '../DirectoryCheck/index.js';
 
 /**
  * How one request ended for its caller: with a success, a refusal, no tokens left in the client account
--- a/packages/soak/src/runSoak/index.ts
+++ b/packages/soak/src/runSoak/index.ts
@@ -1,8 +1,8 @@
 import { createRandom, type Random } from '@acaciacrank/base';
 import { mkdirSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { LoadGenerator } from '../_lib/CallerLoad/index.js';
-import { DirectoryPoller } from '../_lib/DirectoryWatch/index.js';
+import { LoadGenerator } from '../_lib/LoadGenerator/index.js';
+import { DirectoryPoller } from '../_lib/DirectoryPoller/index.js';
 import { FaultInjector } from '../_lib/FaultInjector/index.js';
 import { Observations } from '../_lib/Observations/index.js';
 import { planFaults } from '../_lib/planFaults/index.js';
