--- a/packages/standins/src/LocalGrantNetwork/index.ts
+++ b/packages/standins/src/LocalGrantNetwork/index.ts
@@ -6,19 +6,19 @@
   type TransferredTokens,
 } from '@acaciacrank/ledger';
 
-/** What can be wrong between instances that exchange grants. */
+/** Options of {@link LocalGrantNetwork}. */
 export interface LocalGrantNetworkOptions {
   clock: Clock;
-  /** How long a message takes, in milliseconds. */
+  /** One-way delay of a message, in milliseconds. */
   delayMs?: number;
-  /** Whether a message gets through; every one by default. */
+  /** Whether messages from one instance reach another; by default all do. */
   isConnected?: (from: InstanceId, to: InstanceId) => boolean;
 }
 
-/** How long a peer waits for answers, in milliseconds. */
-const answerLimitMs = 200;
+/** How long an instance waits for the response of a peer, in milliseconds. */
+const responseTimeoutMs = 200;
 
-/** Instances that exchange grants in one process. */
+/** In-memory network between instances that exchange grants. */
 export class LocalGrantNetwork {
   readonly #options: LocalGrantNetworkOptions;
   readonly #handlers = new Map<InstanceId, GrantPeerHandler>();
@@ -29,12 +29,12 @@
     this.#options = options;
   }
 
-  /** One instance's view of the others. */
+  /** Creates the peer client of one instance. */
   peersOf(instanceId: InstanceId): GrantPeers {
     return new LocalGrantPeers(this, instanceId);
   }
 
-  /** Lets an instance answer; dispose of the result when it is gone. */
+  /** Registers the handler of an instance; disposing of the result unregisters it. */
   serve(instanceId: InstanceId, handler: GrantPeerHandler): Disposable {
     this.#handlers.set(instanceId, handler);
     return {
@@ -44,36 +44,36 @@
     };
   }
 
-  /** Who can be reached from an instance, itself too. */
+  /** The instances that one instance can reach, including itself. */
   reachableFrom(instanceId: InstanceId): ReadonlySet<InstanceId> {
     const all = [...this.#handlers.keys()];
     return new Set(all.filter((other) => this.#isConnected(instanceId, other)));
   }
 
-  /** All instances that answer, but for one. */
-  others(instanceId: InstanceId): InstanceId[] {
+  /** All instances with a handler, except one. */
+  otherInstances(instanceId: InstanceId): InstanceId[] {
     return [...this.#handlers.keys()].filter((other) => other !== instanceId);
   }
 
-  /** Asks one peer; undefined when either message is lost or no answer comes in time. */
-  async ask<Answer>(
+  /** Sends a request to one peer; undefined if the request or response is lost or the response comes too late. */
+  async ask<Result>(
     from: InstanceId,
     to: InstanceId,
-    work: (handler: GrantPeerHandler) => Answer | Promise<Answer>,
-  ): Promise<Answer | undefined> {
+    operation: (handler: GrantPeerHandler) => Result | Promise<Result>,
+  ): Promise<Result | undefined> {
     const { clock, delayMs = 1 } = this.#options;
-    const limit = clock.sleep(answerLimitMs).then(() => undefined);
-    const answer = async () => {
+    const timeout = clock.sleep(responseTimeoutMs).then(() => undefined);
+    const response = async () => {
       this.messages += 1;
       await clock.sleep(delayMs);
       const handler = this.#handlers.get(to);
-      if (handler === undefined || !this.#isConnected(from, to)) return limit;
-      const done = await work(handler);
+      if (handler === undefined || !this.#isConnected(from, to)) return timeout;
+      const result = await operation(handler);
       this.messages += 1;
       await clock.sleep(delayMs);
-      return this.#isConnected(to, from) ? done : limit;
+      return this.#isConnected(to, from) ? result : timeout;
     };
-    return Promise.race([answer(), limit]);
+    return Promise.race([response(), timeout]);
   }
 
   #isConnected(from: InstanceId, to: InstanceId): boolean {
@@ -111,10 +111,10 @@
     budget: BudgetRef,
     tokens: number,
   ): Promise<readonly TransferredTokens[]> {
-    const askOne = (peer: InstanceId) =>
+    const requestFrom = (peer: InstanceId) =>
       this.#network.ask(this.#instanceId, peer, (handler) => handler.handOver(budget, tokens));
-    const peers = this.#network.others(this.#instanceId);
-    const answers = await Promise.all(peers.map(askOne));
-    return answers.flatMap((answer) => answer ?? []);
+    const peers = this.#network.otherInstances(this.#instanceId);
+    const responses = await Promise.all(peers.map(requestFrom));
+    return responses.flatMap((response) => response ?? []);
   }
 }
--- a/packages/standins/src/LocalLoanNetwork/index.ts
+++ b/packages/standins/src/LocalLoanNetwork/index.ts
@@ -7,35 +7,35 @@
 } from '@acaciacrank/ledger';
 import { rankByKey } from '@acaciacrank/routing';
 
-/** What can be wrong between instances that lend each other tokens. */
+/** Options of {@link LocalLoanNetwork}. */
 export interface LocalLoanNetworkOptions {
   clock: Clock;
   random: Random;
-  /** The share of questions, and of answers, that are lost on the way. */
+  /** Ratio of requests, and of responses, that are lost. */
   lostShare?: number;
-  /** How long a message takes, in milliseconds. */
+  /** One-way delay of a message, in milliseconds. */
   delayMs?: number;
-  /** Whether messages of an instance get through; all by default. */
+  /** Whether an instance is connected to the network; by default all are. */
   isConnected?: (instanceId: InstanceId) => boolean;
 }
 
-/** Instances that lend each other prepaid tokens in one process. */
+/** In-memory network between instances that lend each other prepaid tokens. */
 export class LocalLoanNetwork {
   readonly #options: Required<LocalLoanNetworkOptions>;
   readonly #handlers = new Map<InstanceId, LoanHandler>();
-  /** Questions sent, for measurements. */
-  questions = 0;
+  /** Number of requests sent, for measurements. */
+  sentRequests = 0;
 
   constructor(options: LocalLoanNetworkOptions) {
     this.#options = { lostShare: 0, delayMs: 1, isConnected: () => true, ...options };
   }
 
-  /** One instance's view of the others. */
+  /** Creates the peer client of one instance. */
   peersOf(instanceId: InstanceId): PrepaidPeers {
     return new LocalPrepaidPeers(this, instanceId);
   }
 
-  /** Lets an instance answer; dispose of the result when it is gone. */
+  /** Registers the handler of an instance; disposing of the result unregisters it. */
   serve(instanceId: InstanceId, handler: LoanHandler): Disposable {
     this.#handlers.set(instanceId, handler);
     return {
@@ -45,35 +45,35 @@
     };
   }
 
-  /** Where an account's stock is gathered, as one instance sees it; itself where it is cut off. */
-  homeOf(accountId: AccountId, asker: InstanceId): InstanceId {
-    return this.ranked(accountId, asker)[0] ?? asker;
+  /** The home of an account, at which its stock is concentrated, as one instance sees it. */
+  homeOf(accountId: AccountId, fromInstanceId: InstanceId): InstanceId {
+    return this.rankInstances(accountId, fromInstanceId)[0] ?? fromInstanceId;
   }
 
-  /** The instances that one reaches, itself too, in the order in which an account falls to them. */
-  ranked(accountId: AccountId, asker: InstanceId): readonly InstanceId[] {
-    const ids = [...this.#handlers.keys()].filter((id) => this.#isReached(asker, id));
-    const ranked = rankByKey(
+  /** The instances that one instance can reach, including itself, in the account's rank order. */
+  rankInstances(accountId: AccountId, fromInstanceId: InstanceId): readonly InstanceId[] {
+    const ids = [...this.#handlers.keys()].filter((id) => this.#isReached(fromInstanceId, id));
+    const rankedInstances = rankByKey(
       accountId,
       ids.map((id) => ({ id })),
     );
-    return ranked.map(({ id }) => id);
+    return rankedInstances.map(({ id }) => id);
   }
 
-  /** Carries a question and its answer. */
-  async carry(
+  /** Delivers a request and its response; undefined if either is lost. */
+  async exchange(
     from: InstanceId,
     to: InstanceId,
-    question: LoanRequest,
+    request: LoanRequest,
   ): Promise<LoanResponse | undefined> {
     const { clock, delayMs } = this.#options;
-    this.questions += 1;
+    this.sentRequests += 1;
     await clock.sleep(delayMs);
     const handler = this.#handlers.get(to);
     if (handler === undefined || !this.#isReached(from, to) || this.#isLost()) return undefined;
-    const answer = await handler(question);
+    const response = await handler(request);
     await clock.sleep(delayMs);
-    return this.#isReached(from, to) && !this.#isLost() ? answer : undefined;
+    return this.#isReached(from, to) && !this.#isLost() ? response : undefined;
   }
 
   #isReached(from: InstanceId, to: InstanceId): boolean {
@@ -102,12 +102,12 @@
   }
 
   override backupOf(accountId: AccountId): InstanceId | undefined {
-    const [, ...rest] = this.#network.ranked(accountId, this.#instanceId);
+    const [, ...rest] = this.#network.rankInstances(accountId, this.#instanceId);
     return rest.find((id) => id !== this.#instanceId);
   }
 
-  override ask(peer: InstanceId, question: LoanRequest): Promise<LoanResponse | undefined> {
-    return this.#network.carry(this.#instanceId, peer, question);
+  override ask(peer: InstanceId, request: LoanRequest): Promise<LoanResponse | undefined> {
+    return this.#network.exchange(this.#instanceId, peer, request);
   }
 
   override serve(handler: LoanHandler): Disposable {
--- a/packages/standins/src/LocalUpstreamClients/index.ts
+++ b/packages/standins/src/LocalUpstreamClients/index.ts
@@ -18,7 +18,7 @@
 import type { StandinEngine } from '../StandinEngine/index.js';
 import type { StandinService } from '../StandinService/index.js';
 
-/** An engine stand-in in the same process. */
+/** Client of a fake engine in the same process. */
 export class LocalEngineClient extends EngineClient {
   readonly #engine: StandinEngine;
 
@@ -58,7 +58,7 @@
 
   override async order(request: OrderRequest, signal: AbortSignal): Promise<OrderOutcome> {
     signal.throwIfAborted();
-    return Promise.resolve(this.#engine.control.take(request));
+    return Promise.resolve(this.#engine.control.handleOrder(request));
   }
 
   override readState(): Promise<EngineState> {
@@ -70,7 +70,7 @@
   }
 }
 
-/** A service stand-in in the same process. */
+/** Client of a fake service in the same process. */
 export class LocalServiceClient extends ServiceClient {
   readonly #service: StandinService;
 
@@ -88,7 +88,7 @@
   }
 }
 
-/** Opens clients for stand-ins in the same process, by their id in the list. */
+/** Creates clients of fake upstreams in the same process, found by their id in the instance list. */
 export class LocalUpstreamClients extends UpstreamClients {
   readonly engines = new Map<string, StandinEngine>();
   readonly services = new Map<string, StandinService>();
@@ -96,12 +96,12 @@
   override engine(entry: ListedInstance): EngineClient {
     const engine = this.engines.get(entry.id);
     if (engine !== undefined) return new LocalEngineClient(engine);
-    throw new RouterError('internal', `there is no engine ${entry.id}`);
+    throw new RouterError('internal', `unknown engine ${entry.id}`);
   }
 
   override service(entry: ListedInstance): ServiceClient {
     const service = this.services.get(entry.id);
     if (service !== undefined) return new LocalServiceClient(service);
-    throw new RouterError('internal', `there is no service ${entry.id}`);
+    throw new RouterError('internal', `unknown service ${entry.id}`);
   }
 }
--- a/packages/standins/src/MemoryFleet/index.ts
+++ b/packages/standins/src/MemoryFleet/index.ts
@@ -10,16 +10,16 @@
 /** Options of {@link MemoryFleet}. */
 export interface MemoryFleetOptions {
   clock: Clock;
-  /** Makes every loss. */
+  /** Seed of the random message losses. */
   seed?: number;
-  /** One way between two instances, in milliseconds. */
+  /** One-way delay between two instances, in milliseconds. */
   delayMs?: number;
 }
 
-/** What one instance has sent. */
+/** Message and byte counts of one instance. */
 export interface LinkTraffic {
   sentMessages: number;
-  /** Encoded messages, without the headers of WebSocket, TCP and IP. */
+  /** Size of the encoded messages, without WebSocket, TCP and IP headers. */
   sentBytes: number;
   receivedMessages: number;
   receivedBytes: number;
@@ -27,16 +27,16 @@
 }
 
 /**
- * The network between instances in the small, on a manual clock: delays, losses, partitions, and
- * links that went silent in one direction.
+ * In-memory network between instances, on virtual time. Simulates delays, message loss, partitions, and
+ * links that are silent in one direction.
  */
 export class MemoryFleet {
-  /** One way between two instances, in milliseconds. */
+  /** One-way delay between two instances, in milliseconds. */
   delayMs: number;
   readonly #clock: Clock;
   readonly #random: Random;
   readonly #links = new Map<InstanceId, MemoryFleetLinks>();
-  /** The share of messages that is lost, by direction `from>to`; 1 for a silent link. */
+  /** Ratio of messages that are lost, by direction `from>to`; 1 for a silent link. */
   readonly #lossRatios = new Map<string, number>();
   readonly #isolated = new Set<string>();
   #groups = new Map<string, number>();
@@ -47,31 +47,31 @@
     this.delayMs = options.delayMs ?? 1;
   }
 
-  /** The links of an instance; a restarted one takes the place of its former self. */
+  /** Creates the links of an instance; those of a restarted instance replace the previous ones. */
   linksFor(id: InstanceId): MemoryFleetLinks {
     const links = new MemoryFleetLinks(this, id);
     this.#links.set(id, links);
     return links;
   }
 
-  /** Loses a share of the messages of one direction; 1 makes the link silent, 0 mends it. */
+  /** Sets the ratio of messages lost in one direction; 1 makes the link silent, 0 restores it. */
   lose(from: string, to: string, ratio: number): void {
     this.#lossRatios.set(`${from}>${to}`, ratio);
   }
 
-  /** Makes a link silent both ways. */
+  /** Makes a link silent in both directions. */
   silence(a: string, b: string): void {
     this.lose(a, b, 1);
     this.lose(b, a, 1);
   }
 
-  /** Mends a link both ways. */
-  mend(a: string, b: string): void {
+  /** Ends message loss on a link in both directions. */
+  restoreLink(a: string, b: string): void {
     this.lose(a, b, 0);
     this.lose(b, a, 0);
   }
 
-  /** Lets only instances of the same group reach each other; who is in none is in the first. */
+  /** Lets only instances of the same group reach each other; an instance in no group belongs to the first. */
   partition(...groups: readonly (readonly string[])[]): void {
     this.#groups = new Map(
       groups.flatMap((group, index) => group.map((id) => [id, index] as const)),
@@ -83,14 +83,14 @@
     this.#groups.clear();
   }
 
-  /** Cuts one instance off from all others, as a crash or a frozen process looks to them. */
+  /** Disconnects an instance from all others, to which it looks crashed or frozen. */
   isolate(id: string, isIsolated = true): void {
     if (isIsolated) this.#isolated.add(id);
     else this.#isolated.delete(id);
   }
 
-  /** Carries one encoded message; it is lost where the way is cut when it starts or arrives. */
-  carry(from: MemoryFleetLinks, to: InstanceId, frame: Uint8Array): void {
+  /** Transmits one encoded message; it is lost if the path is cut when it is sent or when it arrives. */
+  transmit(from: MemoryFleetLinks, to: InstanceId, frame: Uint8Array): void {
     if (this.#isLost(from.id, to)) {
       from.traffic.lostMessages += 1;
       return;
@@ -98,7 +98,7 @@
     this.#clock.schedule(this.delayMs, () => {
       const receiver = this.#links.get(to);
       if (receiver === undefined || this.#isCut(from.id, to)) from.traffic.lostMessages += 1;
-      else receiver.take(frame, from.id);
+      else receiver.receive(frame, from.id);
     });
   }
 
@@ -114,7 +114,7 @@
   }
 }
 
-/** One instance's links in the same process; messages are encoded as over the network. */
+/** In-memory links of one instance; messages are encoded as over a real network. */
 export class MemoryFleetLinks extends FleetLinks implements Disposable {
   readonly id: InstanceId;
   readonly traffic: LinkTraffic = {
@@ -133,7 +133,7 @@
     this.id = id;
   }
 
-  /** The peers that were named last. */
+  /** The peers passed to the last {@link setPeers} call. */
   peers: readonly FleetPeer[] = [];
 
   override setPeers(peers: readonly FleetPeer[]): void {
@@ -145,21 +145,25 @@
     const frame = encodeFrame(message);
     this.traffic.sentMessages += 1;
     this.traffic.sentBytes += frame.length;
-    this.#fleet.carry(this, to, frame);
+    this.#fleet.transmit(this, to, frame);
   }
 
-  /** Takes a message that has arrived. */
-  take(frame: Uint8Array, from: InstanceId): void {
+  /**
+   * Decodes and delivers a message that has arrived.
+   *
+   * @throws Error if it cannot be decoded
+   */
+  receive(frame: Uint8Array, from: InstanceId): void {
     if (this.#isClosed) return;
     this.traffic.receivedMessages += 1;
     this.traffic.receivedBytes += frame.length;
     const message = decodeMessage(frame);
-    // A real link counts it; here it is a fault of the sender and must not go unseen.
-    if (message === undefined) throw new Error(`${from} sent a message that does not parse`);
+    // A real link only counts such messages; here it is a bug of the sender and must fail the test.
+    if (message === undefined) throw new Error(`${from} sent a message that cannot be decoded`);
     this.deliver(message, from);
   }
 
-  /** Sends and receives nothing more, as a process that has ended. */
+  /** Sends and receives nothing from now on, like a process that has ended. */
   [Symbol.dispose](): void {
     this.#isClosed = true;
   }
--- a/packages/standins/src/MemoryFleet/test.ts
+++ b/packages/standins/src/MemoryFleet/test.ts
@@ -15,36 +15,36 @@
   return { clock, network, first, third };
 }
 
-test('a question is answered after a round trip', async (t) => {
+test('a request is answered after one round trip', async (t) => {
   const { clock, first } = openThree();
   const reply = await clock.runUntil(first.ask(b, { kind: 'probe', target: c }));
   t.true(reply.isReachable);
   t.is(clock.monotonicMs(), 10);
 });
 
-test('a question that nobody answers there fails at once', async (t) => {
+test('a request without a handler at the receiver fails after one round trip', async (t) => {
   const { clock, first } = openThree();
-  const asked = clock.runUntil(first.ask(c, { kind: 'probe', target: b }));
-  t.like(await t.throwsAsync(asked), { kind: 'peerUnavailable' });
+  const pending = clock.runUntil(first.ask(c, { kind: 'probe', target: b }));
+  t.like(await t.throwsAsync(pending), { kind: 'peerUnavailable' });
   t.is(clock.monotonicMs(), 10);
 });
 
-// Two instances lose each other while a question is under way. Who asked must not wait for ever.
-test('a partition between chosen instances loses what is under way, until it heals', async (t) => {
+// Guards against a caller that waits forever because a partition begins while its request is in flight.
+test('a partition loses messages in flight until it heals', async (t) => {
   const { clock, network, first, third } = openThree();
-  const asked = first.ask(b, { kind: 'probe', target: c }, { timeoutMs: 300 });
+  const pending = first.ask(b, { kind: 'probe', target: c }, { timeoutMs: 300 });
   network.partition([a], [b, c]);
-  t.like(await t.throwsAsync(clock.runUntil(asked)), { kind: 'peerUnavailable' });
+  t.like(await t.throwsAsync(clock.runUntil(pending)), { kind: 'peerUnavailable' });
   t.true((await clock.runUntil(third.ask(b, { kind: 'probe', target: c }))).isReachable);
   network.heal();
   t.true((await clock.runUntil(first.ask(b, { kind: 'probe', target: c }))).isReachable);
 });
 
-test('a link that is silent one way still carries the other', async (t) => {
+test('a link that is silent in one direction still delivers in the other', async (t) => {
   const { clock, network, first } = openThree();
   network.lose(b, a, 1);
-  const asked = clock.runUntil(first.ask(b, { kind: 'probe', target: c }));
-  await t.throwsAsync(asked);
-  network.mend(a, b);
+  const pending = clock.runUntil(first.ask(b, { kind: 'probe', target: c }));
+  await t.throwsAsync(pending);
+  network.restoreLink(a, b);
   t.true((await clock.runUntil(first.ask(b, { kind: 'probe', target: c }))).isReachable);
 });
--- a/packages/standins/src/StandinControl/index.ts
+++ b/packages/standins/src/StandinControl/index.ts
@@ -12,50 +12,51 @@
 /** Options of {@link StandinControl}. */
 export interface StandinControlOptions {
   clock: Clock;
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether an order whose fencing number is lower than an earlier one is refused. */
   checksFencing?: boolean;
+  /** Whether the engine can export its KV cache to another engine. */
   offersKvExport?: boolean;
 }
 
-/** One order that an engine acted on; proofs read it. */
-export interface ActedOrder {
+/** One order that an engine executed; tests read it. */
+export interface ExecutedOrder {
   readonly order: EngineOrder;
   readonly fencingNumber: number;
-  /** When, in milliseconds of the monotonic clock. */
+  /** When the order was executed, in milliseconds of the monotonic clock. */
   readonly atMs: number;
 }
 
-/** What an engine holds, and how it takes orders. */
+/** Control interface of a fake engine: its models, adapters and role, and the orders that change them. */
 export class StandinControl {
-  /** Orders that it acted on, in order. */
-  readonly acted: ActedOrder[] = [];
-  /** Orders that it refused for their number. */
+  /** Executed orders, oldest first. */
+  readonly acted: ExecutedOrder[] = [];
+  /** Orders that were refused because of an outdated fencing number. */
   readonly refused: OrderRequest[] = [];
-  /** How many of the next orders take effect and lose their answer. */
+  /** Number of upcoming orders that are executed but whose response is lost. */
   answersToLose = 0;
-  /** What the weight store tells the next load; undefined lets it through. */
+  /** Retry delay with which orders are refused as rate-limited, in milliseconds; undefined accepts them. */
   rateLimitedForMs: number | undefined;
   readonly #options: Required<StandinControlOptions>;
   #models: readonly ModelVersion[] = [];
   #adapters: readonly AdapterVersion[] = [];
   #role: EngineRole = 'both';
   #kvExportedTo: UpstreamId | undefined;
-  #highestNumber = 0;
+  #highestFencingNumber = 0;
 
   constructor(options: StandinControlOptions) {
     this.#options = { checksFencing: true, offersKvExport: true, ...options };
   }
 
-  /** Holds nothing, as after a restart of the engine. */
+  /** Resets the state, as a restart of the engine does. */
   restart(): void {
     this.#models = [];
     this.#adapters = [];
     this.#role = 'both';
     this.#kvExportedTo = undefined;
-    this.#highestNumber = 0;
+    this.#highestFencingNumber = 0;
   }
 
-  /** What it reports. */
+  /** Returns the reported state. */
   state(): EngineState {
     return {
       models: this.#models,
@@ -66,14 +67,18 @@
     };
   }
 
-  /** Takes an order. */
-  take(request: OrderRequest): OrderOutcome {
+  /**
+   * Executes an order unless it is stale or rate-limited.
+   *
+   * @throws Error if the loss of the response is simulated; the order has been executed
+   */
+  handleOrder(request: OrderRequest): OrderOutcome {
     const { fencingNumber, order } = request;
-    if (this.#options.checksFencing && fencingNumber < this.#highestNumber) {
+    if (this.#options.checksFencing && fencingNumber < this.#highestFencingNumber) {
       this.refused.push(request);
       return { kind: 'stale' };
     }
-    this.#highestNumber = Math.max(this.#highestNumber, fencingNumber);
+    this.#highestFencingNumber = Math.max(this.#highestFencingNumber, fencingNumber);
     if (this.rateLimitedForMs !== undefined) {
       return { kind: 'rateLimited', retryAfterMs: this.rateLimitedForMs };
     }
@@ -81,7 +86,7 @@
     this.#apply(order);
     if (this.answersToLose > 0) {
       this.answersToLose -= 1;
-      throw new Error('the answer was lost');
+      throw new Error('simulated loss of the response');
     }
     return { kind: 'taken' };
   }
--- a/packages/standins/src/StandinEngine/index.ts
+++ b/packages/standins/src/StandinEngine/index.ts
@@ -13,40 +13,40 @@
 export interface StandinEngineOptions {
   id: UpstreamId;
   clock: Clock;
-  /** Places in the batch. */
+  /** Maximum batch size: the number of requests that run at the same time. */
   maxRunningRequests?: number;
-  /** Time between two tokens of a stream that runs alone, in milliseconds. */
+  /** Time between two tokens of a stream that runs alone in the batch, in milliseconds. */
   tokenGapMs?: number;
-  /** How much longer the gap is with a full batch, as a factor. */
+  /** Factor by which the time between tokens grows when the batch is full. */
   fullBatchSlowdown?: number;
-  /** Prompt tokens read in a second. */
+  /** Prefill speed, in prompt tokens per second. */
   prefillTokensPerSecond?: number;
-  /** How many prompt prefixes stay cached. */
+  /** Capacity of the prefix cache, in prompt prefixes. */
   cachedPrefixes?: number;
-  /** How late the load report is, in milliseconds. */
+  /** Age of the load report that is returned, in milliseconds. */
   reportLagMs?: number;
-  /** How late cache events are, in milliseconds. */
+  /** Delay after which a cache event becomes visible, in milliseconds. */
   cacheEventLagMs?: number;
-  /** Each so many cache events one is never published; 0 publishes all. */
-  cacheEventGapEvery?: number;
-  /** Whether an order with an old fencing number is refused. */
+  /** One of every N cache events is never published; 0 publishes all. */
+  omitEveryNthCacheEvent?: number;
+  /** Whether an order whose fencing number is lower than an earlier one is refused. */
   checksFencing?: boolean;
-  /** Whether it hands its KV cache over before leaving. */
+  /** Whether the engine can export its KV cache to another engine before it leaves. */
   offersKvExport?: boolean;
 }
 
 /**
- * What ails the engine: `failing` refuses each request at once, so that its load looks low;
- * `mute` accepts and never answers, and its load looks low too.
+ * Simulated failure: `failing` rejects every request immediately and `mute` accepts requests but never
+ * responds. In both cases the reported load is low.
  */
-export type EngineAilment = 'none' | 'failing' | 'mute';
+export type EngineFailureMode = 'none' | 'failing' | 'mute';
 
-/** What the engine truly did for one request; proofs read it. */
+/** What the engine did for one request; tests compare it with bills and with what callers received. */
 export interface EngineRecord {
   readonly requestId: RequestId;
-  /** The last message's content, by which proofs know the request again. */
+  /** Content of the last message; tests identify the request by it. */
   readonly content: string;
-  /** When the engine took it, in milliseconds of the monotonic clock. */
+  /** When the engine accepted the request, in milliseconds of the monotonic clock. */
   readonly takenAtMs: number;
   readonly promptTokens: number;
   outputTokens: number;
@@ -54,8 +54,8 @@
   prefixHit: boolean;
 }
 
-/** How many cache events an engine keeps for those who ask late. */
-const keptCacheEvents = 256;
+/** Number of recent cache events that an engine retains for clients that poll late. */
+const maxRetainedCacheEvents = 256;
 
 interface EngineStream {
   readonly request: GenerateRequest;
@@ -66,16 +66,16 @@
 }
 
 /**
- * A model engine in the small: continuous batching whose token rate falls with the batch,
- * priorities, a prefix cache, resume, cancel, and load reports that lag.
+ * Fake model engine: continuous batching in which the token rate falls as the batch fills, priorities, a
+ * prefix cache, resume, cancel, and delayed load reports.
  *
- * A stream goes on when its connection dies, as engines do that offer to resume it.
+ * A stream continues after its connection breaks, as in engines that can resume a stream.
  */
 export class StandinEngine {
   readonly records = new Map<RequestId, EngineRecord>();
-  /** Requests that came after the engine began to leave, with how long after, in milliseconds. */
-  readonly offeredWhileLeaving: { requestId: RequestId; sinceLeavingMs: number }[] = [];
-  /** What it holds, and the orders that it took. */
+  /** Requests that arrived after the engine began to leave, with the time since then, in milliseconds. */
+  readonly requestsWhileLeaving: { requestId: RequestId; sinceLeavingMs: number }[] = [];
+  /** State that orders change: models, adapters and role. */
   readonly control: StandinControl;
   readonly #options: Required<StandinEngineOptions>;
   readonly #streams = new Map<RequestId, EngineStream>();
@@ -84,13 +84,13 @@
   #waiting: EngineStream[] = [];
   #running = 0;
   #state: 'live' | 'leaving' = 'live';
-  #leftAtMs = 0;
+  #leavingSinceMs = 0;
   #cacheEvents: CacheEvent[] = [];
   #cacheSequence = 0;
   #startedAtMs: number;
-  /** How much longer everything takes than it should, as a factor. */
+  /** Factor by which prefill and token generation are slowed down. */
   slowFactor = 1;
-  ailment: EngineAilment = 'none';
+  failureMode: EngineFailureMode = 'none';
 
   constructor(options: StandinEngineOptions) {
     this.#options = {
@@ -101,7 +101,7 @@
       cachedPrefixes: 64,
       reportLagMs: 500,
       cacheEventLagMs: 1_000,
-      cacheEventGapEvery: 10,
+      omitEveryNthCacheEvent: 10,
       checksFencing: true,
       offersKvExport: true,
       ...options,
@@ -114,13 +114,13 @@
     return this.#options.id;
   }
 
-  /** Takes no new work from now on; streams in progress go on. */
+  /** Rejects new requests from now on; streams in progress continue. */
   leave(): void {
     this.#state = 'leaving';
-    this.#leftAtMs = this.#options.clock.monotonicMs();
+    this.#leavingSinceMs = this.#options.clock.monotonicMs();
   }
 
-  /** Starts anew under the same id: streams, cache and reports of its former life are gone. */
+  /** Restarts under the same id; streams, cache, load reports and control state are lost. */
   restart(): void {
     for (const stream of this.#streams.values()) this.cancel(stream.request.requestId);
     this.#streams.clear();
@@ -129,50 +129,51 @@
     this.#cacheEvents = [];
     this.#cacheSequence = 0;
     this.#state = 'live';
-    this.ailment = 'none';
+    this.failureMode = 'none';
     this.control.restart();
     this.#startedAtMs = this.#options.clock.wallMs();
   }
 
-  /** What entered and left the prefix cache after an event: late, and with gaps. */
+  /** Prefix cache events after a sequence number; delayed, and some are omitted. */
   cacheEvents(sinceSequence: number): readonly CacheEvent[] {
-    const { clock, cacheEventLagMs, cacheEventGapEvery } = this.#options;
+    const { clock, cacheEventLagMs, omitEveryNthCacheEvent } = this.#options;
     const untilMs = clock.wallMs() - cacheEventLagMs;
     return this.#cacheEvents.filter(
       ({ sequence, atMs }) =>
         sequence > sinceSequence &&
         atMs <= untilMs &&
-        (cacheEventGapEvery === 0 || sequence % cacheEventGapEvery !== 0),
+        (omitEveryNthCacheEvent === 0 || sequence % omitEveryNthCacheEvent !== 0),
     );
   }
 
   /**
-   * Takes a generation; the frames are read with {@link frames}.
+   * Accepts a generation request; its frames are read with {@link frames}.
    *
-   * @throws RouterError `upstreamUnavailable` when leaving, `upstreamFailed` when failing
+   * @throws RouterError `upstreamUnavailable` if the engine is leaving, `upstreamFailed` if it simulates
+   *   failures
    */
   submit(request: GenerateRequest): void {
     if (this.#streams.has(request.requestId)) return;
     if (this.#state === 'leaving') {
-      const sinceLeavingMs = this.#options.clock.monotonicMs() - this.#leftAtMs;
-      this.offeredWhileLeaving.push({ requestId: request.requestId, sinceLeavingMs });
+      const sinceLeavingMs = this.#options.clock.monotonicMs() - this.#leavingSinceMs;
+      this.requestsWhileLeaving.push({ requestId: request.requestId, sinceLeavingMs });
       throw new RouterError('upstreamUnavailable', `${this.id} is leaving`);
     }
-    if (this.ailment === 'failing') {
-      throw new RouterError('upstreamFailed', `${this.id} fails everything`);
+    if (this.failureMode === 'failing') {
+      throw new RouterError('upstreamFailed', `${this.id} simulates failure of every request`);
     }
-    const stream = this.#open(request);
+    const stream = this.#createStream(request);
     this.#streams.set(request.requestId, stream);
     this.records.set(request.requestId, stream.record);
-    if (this.ailment === 'mute') return;
+    if (this.failureMode === 'mute') return;
     this.#waiting.push(stream);
-    this.#startNext();
+    this.#fillBatch();
   }
 
   /**
-   * A stream's frames from an offset, as they come.
+   * Yields the frames of a stream from an offset on, as they are generated.
    *
-   * @throws RouterError `notFound`
+   * @throws RouterError `notFound` if the engine has no such stream
    */
   async *frames(
     requestId: RequestId,
@@ -180,7 +181,8 @@
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const stream = this.#streams.get(requestId);
-    if (stream === undefined) throw new RouterError('notFound', `${this.id} has no ${requestId}`);
+    if (stream === undefined)
+      throw new RouterError('notFound', `${this.id} has no stream for request ${requestId}`);
     let sequence = offset;
     while (!signal.aborted) {
       const text = stream.tokens[sequence];
@@ -193,12 +195,12 @@
       } else if (stream.record.state === 'cancelled') {
         return;
       } else {
-        await nextChange(stream, signal);
+        await waitForUpdate(stream, signal);
       }
     }
   }
 
-  /** Ends a generation; idempotent. */
+  /** Cancels a generation; idempotent. */
   cancel(requestId: RequestId): void {
     const stream = this.#streams.get(requestId);
     if (stream === undefined || stream.record.state === 'done') return;
@@ -207,7 +209,7 @@
     notify(stream);
   }
 
-  /** The load as it was `reportLagMs` ago. */
+  /** Returns the load as it was `reportLagMs` ago. */
   load(): LoadReport {
     const { clock, reportLagMs, maxRunningRequests } = this.#options;
     const nowMs = clock.wallMs();
@@ -223,11 +225,11 @@
     while ((this.#reports[1]?.measuredAtMs ?? Infinity) <= nowMs - reportLagMs)
       this.#reports.shift();
     const [report] = this.#reports;
-    if (report === undefined) throw new RouterError('internal', 'there is no report');
+    if (report === undefined) throw new RouterError('internal', 'no load report available');
     return report;
   }
 
-  #open(request: GenerateRequest): EngineStream {
+  #createStream(request: GenerateRequest): EngineStream {
     const text = request.messages.map((message) => message.content).join('\n');
     const bytes = request.messages.reduce(
       (sum, { content }) => sum + Buffer.byteLength(content),
@@ -246,10 +248,12 @@
     return { request, record, tokens: [], targetTokens, listeners: new Set() };
   }
 
-  #startNext(): void {
+  #fillBatch(): void {
     while (this.#running < this.#options.maxRunningRequests && this.#waiting.length > 0) {
-      const urgent = Math.min(...this.#waiting.map(({ request }) => request.priority));
-      const index = this.#waiting.findIndex(({ request }) => request.priority === urgent);
+      const mostUrgentPriority = Math.min(...this.#waiting.map(({ request }) => request.priority));
+      const index = this.#waiting.findIndex(
+        ({ request }) => request.priority === mostUrgentPriority,
+      );
       const [next] = this.#waiting.splice(index, 1);
       if (next === undefined) return;
       this.#running += 1;
@@ -262,7 +266,7 @@
     const { record } = stream;
     record.state = 'running';
     await clock.sleep(this.#prefillMs(stream));
-    // Cancelling changes the state while this waits, which the compiler does not see.
+    // Re-evaluated on each call: cancel() changes the state during an await, which type narrowing ignores.
     const isRunning = () => record.state === 'running';
     while (isRunning() && record.outputTokens < stream.targetTokens) {
       await clock.sleep(this.#gapMs());
@@ -274,7 +278,7 @@
     if (isRunning()) record.state = 'done';
     notify(stream);
     this.#running -= 1;
-    this.#startNext();
+    this.#fillBatch();
   }
 
   #prefillMs(stream: EngineStream): number {
@@ -282,11 +286,11 @@
     const prefix = hashText(first?.content ?? '');
     stream.record.prefixHit = this.#prefixes.delete(prefix);
     this.#prefixes.set(prefix, true);
-    if (!stream.record.prefixHit) this.#publish('stored', prefix);
+    if (!stream.record.prefixHit) this.#recordCacheEvent('stored', prefix);
     const [oldest] = this.#prefixes.keys();
     if (this.#prefixes.size > this.#options.cachedPrefixes && oldest !== undefined) {
       this.#prefixes.delete(oldest);
-      this.#publish('evicted', oldest);
+      this.#recordCacheEvent('evicted', oldest);
     }
     const prefixTokens = Math.ceil(Buffer.byteLength(first?.content ?? '') / 4);
     const savedTokens = stream.record.prefixHit ? prefixTokens : 0;
@@ -295,11 +299,11 @@
     return seconds * millisecondsInSecond * this.slowFactor;
   }
 
-  #publish(kind: CacheEvent['kind'], prefixHash: number): void {
+  #recordCacheEvent(kind: CacheEvent['kind'], prefixHash: number): void {
     this.#cacheSequence += 1;
     const atMs = this.#options.clock.wallMs();
     this.#cacheEvents.push({ kind, prefixHash, sequence: this.#cacheSequence, atMs });
-    if (this.#cacheEvents.length > keptCacheEvents) this.#cacheEvents.shift();
+    if (this.#cacheEvents.length > maxRetainedCacheEvents) this.#cacheEvents.shift();
   }
 
   #gapMs(): number {
@@ -310,10 +314,11 @@
 }
 
 /**
- * The text of one token, the same each time, so that proofs know a whole answer from a spliced one.
+ * Returns the text of one token. It is deterministic, so that tests can tell a complete answer from one
+ * that contains tokens of another generation.
  *
  * @param requestId - the generation
- * @param sequence - which of its tokens
+ * @param sequence - index of the token in the generation
  *
  * @example
  * tokenText(requestId, 0) === tokenText(requestId, 0);
@@ -338,7 +343,7 @@
   for (const listener of stream.listeners) listener();
 }
 
-function nextChange(stream: EngineStream, signal: AbortSignal): Promise<void> {
+function waitForUpdate(stream: EngineStream, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     const done = () => {
       stream.listeners.delete(done);
--- a/packages/standins/src/bin.ts
+++ b/packages/standins/src/bin.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The stand-ins as processes: platform, engine and service, and the demonstration's load.
+ * Command line for the fake platform, engine and service, and for the load of the demonstration.
  */
 import {
   SystemClock,
@@ -48,7 +48,7 @@
   await store.write(instanceListKey(entry.id), entry, { kind: 'none' });
 }
 
-async function listUpstream(
+async function registerUpstream(
   options: UpstreamOptions,
   role: 'engine' | 'service',
   url: string,
@@ -64,36 +64,41 @@
 }
 
 const cli = cac('standins');
-cli.command('platform <port>', 'Object store').action(async (port: string) => {
-  process.stdout.write(
-    `${await listen(createStoreServer(new MemoryPlatform(clock)), Number(port))}\n`,
-  );
-});
 cli
-  .command('engine', 'A model engine')
-  .option('--id <id>', 'Its id')
-  .option('--service <name>', 'The service that it belongs to')
-  .option('--domain <id>', 'Its failure domain')
-  .option('--platform <url>', 'The platform that lists it')
+  .command('platform <port>', 'Run a fake platform (object store)')
+  .action(async (port: string) => {
+    process.stdout.write(
+      `${await listen(createStoreServer(new MemoryPlatform(clock)), Number(port))}\n`,
+    );
+  });
+cli
+  .command('engine', 'Run a fake model engine')
+  .option('--id <id>', 'Id of the upstream')
+  .option('--service <name>', 'Service to which it belongs')
+  .option('--domain <id>', 'Failure domain')
+  .option('--platform <url>', 'Platform at which it is registered')
   .action(async (options: UpstreamOptions) => {
     const engine = new StandinEngine({ id: options.id as UpstreamId, clock });
-    await listUpstream(options, 'engine', await listen(createEngineServer(engine)));
+    await registerUpstream(options, 'engine', await listen(createEngineServer(engine)));
   });
 cli
-  .command('service', 'A plain service')
-  .option('--id <id>', 'Its id')
-  .option('--service <name>', 'The service that it belongs to')
-  .option('--domain <id>', 'Its failure domain')
-  .option('--platform <url>', 'The platform that lists it')
+  .command('service', 'Run a fake plain service')
+  .option('--id <id>', 'Id of the upstream')
+  .option('--service <name>', 'Service to which it belongs')
+  .option('--domain <id>', 'Failure domain')
+  .option('--platform <url>', 'Platform at which it is registered')
   .action(async (options: UpstreamOptions) => {
     const service = new StandinService({ id: options.id as UpstreamId, clock });
-    await listUpstream(options, 'service', await listen(createServiceServer(service)));
+    await registerUpstream(options, 'service', await listen(createServiceServer(service)));
   });
 cli
-  .command('list-entry <id> <domain> <port>', 'Put an entry instance on the platform list')
+  .command(
+    'list-entry <id> <domain> <port>',
+    'Add an entry instance to the instance list of the platform',
+  )
   .option('--platform <url>', 'The platform')
-  .option('--fleet-port <port>', 'Where it takes links of other instances')
-  .option('--operators-port <port>', "Its operators' port")
+  .option('--fleet-port <port>', 'Port for the links of other instances')
+  .option('--operators-port <port>', 'Port for operators')
   .option('--environment <name>', 'Its environment')
   .action(async (id: string, domain: string, port: string, options: EntryOptions) => {
     const { fleetPort, operatorsPort, environment } = options;
@@ -109,12 +114,12 @@
     });
   });
 cli
-  .command('load', 'Send the demonstration load and check the books')
+  .command('load', 'Send the demonstration load and check the ledger')
   .option('--platform <url>', 'The platform')
-  .option('--duration-ms <ms>', 'How long to send', { default: 8_000 })
+  .option('--duration-ms <ms>', 'How long to send requests', { default: 8_000 })
   .action(async (options: { platform: string; durationMs: number }) => {
-    const isRight = await runDemoLoad(options.platform, options.durationMs);
-    process.exit(isRight ? 0 : 1);
+    const isConsistent = await runDemoLoad(options.platform, options.durationMs);
+    process.exit(isConsistent ? 0 : 1);
   });
 cli.help();
 cli.parse(process.argv, { run: false });
--- a/packages/standins/src/compareWithRecords/index.ts
+++ b/packages/standins/src/compareWithRecords/index.ts
@@ -4,44 +4,44 @@
 import type { EngineRecord } from '../StandinEngine/index.js';
 import type { ServiceRun } from '../StandinService/index.js';
 
-/** What the stand-ins truly did. */
+/** Stored ledger objects, and what the fake upstreams executed. */
 export interface StandinRecords {
   readonly objects: readonly StoredObject[];
   readonly engineRecords: readonly EngineRecord[];
   readonly serviceRuns: readonly ServiceRun[];
 }
 
-/** One difference between what was billed and what was done. */
-export interface RecordFault {
+/** One difference between the ledger and what the fake upstreams executed. */
+export interface RecordMismatch {
   readonly kind: 'overspend' | 'wrongBill' | 'unbilled' | 'repeatedRun';
   readonly what: string;
 }
 
 /**
- * Compares the ledger with what the stand-ins saw.
+ * Compares the ledger with what the fake upstreams executed.
  *
- * Every engine generation that ended must have one bill over just its tokens; no budget may have
- * spent or set aside more than was prepaid; no write to a plain service may have run twice.
+ * Every completed generation must have one bill for exactly its tokens; no budget may have spent or
+ * reserved more than was prepaid; no write to a plain service may have been executed twice.
  *
- * @param records - what the stand-ins truly did
- * @returns the differences; empty when the books are right
+ * @param records - the ledger objects and the records of the upstreams
+ * @returns the differences; empty if the ledger is correct
  *
  * @example
  * compareWithRecords({ objects: platform.objects(), engineRecords: [], serviceRuns: [] });
  * //=> []
  */
-export function compareWithRecords(records: StandinRecords): RecordFault[] {
+export function compareWithRecords(records: StandinRecords): RecordMismatch[] {
   const pages = records.objects
     .filter((object) => object.key.startsWith('ledger/'))
     .map((object) => parsePage(object.key, object.value));
   return [
-    ...pages.flatMap(overspendFaults),
-    ...billFaults(pages, records.engineRecords),
-    ...repeatedRuns(records.serviceRuns),
+    ...pages.flatMap(findOverspends),
+    ...findBillMismatches(pages, records.engineRecords),
+    ...findRepeatedRuns(records.serviceRuns),
   ];
 }
 
-function overspendFaults(page: LedgerPage): RecordFault[] {
+function findOverspends(page: LedgerPage): RecordMismatch[] {
   return Object.entries(page.budgets).flatMap(([budgetId, budget]) => {
     const granted = Object.values(budget.grants).reduce((sum, grant) => sum + grant.tokens, 0);
     if (budget.settledTokens + granted <= budget.prepaidTokens) return [];
@@ -50,17 +50,17 @@
   });
 }
 
-function billFaults(
+function findBillMismatches(
   pages: readonly LedgerPage[],
   engineRecords: readonly EngineRecord[],
-): RecordFault[] {
+): RecordMismatch[] {
   const bills = pages.flatMap((page) =>
     Object.values(page.budgets).flatMap((budget) => Object.entries(budget.bills)),
   );
   const byRequest = new Map(bills.map(([key, bill]) => [bill.requestId, { key, bill }]));
   return engineRecords
     .filter((record) => record.state === 'done')
-    .flatMap((record): RecordFault[] => {
+    .flatMap((record): RecordMismatch[] => {
       const found = byRequest.get(record.requestId);
       const tokens = record.promptTokens + record.outputTokens;
       if (found === undefined) return [{ kind: 'unbilled', what: record.requestId }];
@@ -70,7 +70,7 @@
     });
 }
 
-function repeatedRuns(runs: readonly ServiceRun[]): RecordFault[] {
+function findRepeatedRuns(runs: readonly ServiceRun[]): RecordMismatch[] {
   const bodies = runs.filter((run) => run.method === 'POST').map((run) => run.body);
   const repeated = bodies.filter((body, index) => bodies.indexOf(body) !== index);
   return repeated.map((body) => ({ kind: 'repeatedRun', what: body }));
--- a/packages/standins/src/compareWithRecords/test.ts
+++ b/packages/standins/src/compareWithRecords/test.ts
@@ -35,7 +35,7 @@
   atMs: 0,
 });
 
-test('right books have no fault', (t) => {
+test('a ledger that matches the records has no mismatch', (t) => {
   const records = {
     objects: [page(30, 70, 30)],
     engineRecords: [done('r1')],
@@ -44,14 +44,14 @@
   t.deepEqual(compareWithRecords(records), []);
 });
 
-test('each kind of fault is found', (t) => {
-  const faults = compareWithRecords({
+test('each kind of mismatch is found', (t) => {
+  const mismatches = compareWithRecords({
     objects: [page(31, 70, 31)],
     engineRecords: [done('r1'), done('r2')],
     serviceRuns: [run('1'), run('1')],
   });
   t.deepEqual(
-    faults.map((fault) => fault.kind),
+    mismatches.map((mismatch) => mismatch.kind),
     ['overspend', 'wrongBill', 'unbilled', 'repeatedRun'],
   );
 });
--- a/packages/standins/src/createEngineServer/index.ts
+++ b/packages/standins/src/createEngineServer/index.ts
@@ -5,10 +5,10 @@
 import type { StandinEngine } from '../StandinEngine/index.js';
 
 /**
- * The engine stand-in over HTTP with server-sent events. `/records` says what it truly did.
+ * Serves a fake engine over HTTP with server-sent events. `/records` returns what it did for each request.
  *
- * @param engine - what it serves
- * @returns a server that does not listen yet
+ * @param engine - the engine to serve
+ * @returns a server that is not listening yet
  *
  * @example
  * createEngineServer(engine).listen(7101, '127.0.0.1');
@@ -33,7 +33,7 @@
       sendJson(
         response,
         200,
-        engine.control.take(JSON.parse(await readText(request)) as OrderRequest),
+        engine.control.handleOrder(JSON.parse(await readText(request)) as OrderRequest),
       );
     } else if (url.pathname === '/v1/state') {
       sendJson(response, 200, engine.control.state());
@@ -42,7 +42,7 @@
     } else if (url.pathname === '/records') {
       sendJson(response, 200, [...engine.records.values()]);
     } else {
-      throw new RouterError('notFound', `there is nothing at ${url.pathname}`);
+      throw new RouterError('notFound', `unknown path: ${url.pathname}`);
     }
   });
 }
--- a/packages/standins/src/createLocalFleet/index.ts
+++ b/packages/standins/src/createLocalFleet/index.ts
@@ -18,22 +18,24 @@
 
 /** Options of {@link createLocalFleet}. */
 export interface CreateLocalFleetOptions {
-  /** The environment document. */
+  /** The environment document, in YAML. */
   document: string;
+  /** Seed of all random choices. */
   seed?: number;
   instances?: number;
   engines?: number;
   services?: number;
-  /** The names of the engine service and the plain service in the document. */
+  /** Name of the engine service in the document. */
   engineService?: string;
+  /** Name of the plain service in the document. */
   plainService?: string;
   engineOptions?: Partial<StandinEngineOptions>;
   instanceOptions?: Partial<InstanceOptions>;
-  /** Puts something between an instance and what it is made of, for example faults. */
+  /** Wraps an instance's dependencies, for example to inject faults. */
   wrap?: (options: InstanceOptions, clock: ManualClock) => InstanceOptions;
 }
 
-/** One instance of a local fleet, with its own link to the platform. */
+/** One instance of a local fleet, with its own connection to the platform. */
 export interface LocalInstance {
   readonly id: InstanceId;
   readonly instance: Instance;
@@ -41,19 +43,19 @@
   readonly links: MemoryFleetLinks;
 }
 
-/** Instances, platform and upstreams in one process, on a manual clock. */
+/** Instances, platform and upstreams in one process, on virtual time. */
 export interface LocalFleet extends AsyncDisposable {
   readonly clock: ManualClock;
   readonly platform: MemoryPlatform;
-  /** The network between instances: delays, partitions, silent links. */
+  /** The network between instances; simulates delays, partitions and silent links. */
   readonly network: MemoryFleet;
   readonly clients: LocalUpstreamClients;
   readonly instances: LocalInstance[];
-  /** Starts one more instance, also in place of one that is gone. */
+  /** Starts an additional instance, or a replacement for one that has stopped. */
   addInstance(id: string, failureDomain?: string): Promise<LocalInstance>;
 }
 
-const silent = createLog('local', {
+const silentLog = createLog('local', {
   level: 'fatal',
   stream: new Writable({
     write: (_chunk, _encoding, done) => {
@@ -63,10 +65,10 @@
 });
 
 /**
- * Puts a whole fleet into one process, on a manual clock and with seeded chance.
+ * Starts a complete fleet in one process, on virtual time and with seeded randomness.
  *
- * @param options - sizes and the environment document
- * @returns the fleet, started
+ * @param options - the environment document and the numbers of instances and upstreams
+ * @returns the started fleet
  *
  * @example
  * await using fleet = await createLocalFleet({ document });
@@ -78,7 +80,7 @@
   const network = new MemoryFleet({ clock, seed: options.seed ?? 1 });
   const clients = new LocalUpstreamClients();
   const operatorStore = new MemoryObjectStore(platform, clock);
-  const { environment } = await promoteAndName(operatorStore, clock, options.document);
+  const { environment } = await acceptAndParseDocument(operatorStore, clock, options.document);
   addUpstreams(options, clock, platform, clients);
   const instances: LocalInstance[] = [];
   const seed = options.seed ?? 1;
@@ -104,7 +106,7 @@
       clients,
       links,
       failureDomain: failureDomain as FailureDomainId,
-      log: silent,
+      log: silentLog,
       ...options.instanceOptions,
     };
     const instance = new Instance(options.wrap?.(parts, clock) ?? parts);
@@ -133,7 +135,11 @@
   };
 }
 
-async function promoteAndName(store: MemoryObjectStore, clock: ManualClock, document: string) {
+async function acceptAndParseDocument(
+  store: MemoryObjectStore,
+  clock: ManualClock,
+  document: string,
+) {
   await clock.runUntil(acceptDocument(store, clock, document));
   return parseEnvironment(document);
 }
@@ -148,16 +154,16 @@
     const id = `e${index}`;
     const engine = new StandinEngine({ id: id as UpstreamId, clock, ...options.engineOptions });
     clients.engines.set(id, engine);
-    listUpstream(platform, id, 'engine', options.engineService ?? 'tutor', index);
+    registerUpstream(platform, id, 'engine', options.engineService ?? 'tutor', index);
   }
   for (let index = 1; index <= (options.services ?? 1); index += 1) {
     const id = `s${index}`;
     clients.services.set(id, new StandinService({ id: id as UpstreamId, clock }));
-    listUpstream(platform, id, 'service', options.plainService ?? 'records', index);
+    registerUpstream(platform, id, 'service', options.plainService ?? 'records', index);
   }
 }
 
-function listUpstream(
+function registerUpstream(
   platform: MemoryPlatform,
   id: string,
   role: 'engine' | 'service',
--- a/packages/standins/src/createLocalFleet/test.ts
+++ b/packages/standins/src/createLocalFleet/test.ts
@@ -50,7 +50,7 @@
   return { text, final };
 }
 
-test('the bill equals what the engine generated, and a retry elsewhere is not billed again', async (t) => {
+test('the bill equals what the engine generated, and a retry at another instance is not billed again', async (t) => {
   await using fleet = await createLocalFleet({ document, instanceOptions });
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   const answer = await fleet.clock.runUntil(runChat(first, chatCall('k1')));
@@ -79,9 +79,9 @@
   );
 });
 
-// A trainer presses "issue certificate", the connection drops, and the app retries at another
-// instance. The franchise office must not issue, or charge, twice; the retry gets the first answer.
-test('a certificate is issued once though the caller retries elsewhere', async (t) => {
+// Guards against executing and billing a write twice: the connection drops after the call, and the
+// caller retries it at another instance. The retry must get the first response.
+test('a service write is executed once although the caller retries at another instance', async (t) => {
   await using fleet = await createLocalFleet({ document, instanceOptions });
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   const { signal } = new AbortController();
@@ -92,9 +92,9 @@
   t.is((await fleet.clock.runUntil(readBudget(first.store, budget))).settledTokens, 5);
 });
 
-// The store takes the bill but its answer is lost on the way back. The caller waits a moment longer
-// for its final frame; the budget is charged once.
-test('a bill whose answer is lost is found, not written twice', async (t) => {
+// Guards against billing twice when the store writes a bill but its response is lost. The final frame
+// comes a little later; the budget is charged once.
+test('a bill whose write response is lost is found, not written twice', async (t) => {
   await using fleet = await createLocalFleet({ document, instanceOptions });
   const [first] = fleet.instances as [LocalInstance];
   const running = runChat(first, chatCall('k1'));
--- a/packages/standins/src/createServiceServer/index.ts
+++ b/packages/standins/src/createServiceServer/index.ts
@@ -4,10 +4,10 @@
 import type { StandinService } from '../StandinService/index.js';
 
 /**
- * The plain service stand-in over HTTP. `/records` says what it truly ran.
+ * Serves a fake plain service over HTTP. `/records` returns the calls that it executed.
  *
- * @param service - what it serves
- * @returns a server that does not listen yet
+ * @param service - the service to serve
+ * @returns a server that is not listening yet
  *
  * @example
  * createServiceServer(service).listen(7201, '127.0.0.1');
@@ -22,14 +22,14 @@
       sendJson(response, 200, service.runs);
       return;
     }
-    const answer = await service.call({
+    const serviceResponse = await service.call({
       requestId: String(request.headers['x-request-id']) as RequestId,
       method: request.method ?? 'GET',
       path: `${url.pathname}${url.search}`,
       headers: {},
       body: Buffer.from(await readText(request)),
     });
-    response.writeHead(answer.status, answer.headers);
-    response.end(answer.body);
+    response.writeHead(serviceResponse.status, serviceResponse.headers);
+    response.end(serviceResponse.body);
   });
 }
--- a/packages/standins/src/demo/load.ts
+++ b/packages/standins/src/demo/load.ts
@@ -1,5 +1,5 @@
 /**
- * The demonstration's load: traffic, then a comparison of the books with what the stand-ins did.
+ * Load of the demonstration: sends traffic, then compares the ledger with the records of the fake upstreams.
  */
 import { SystemClock, type AccountId, type BudgetId } from '@acaciacrank/base';
 import { readBudget } from '@acaciacrank/ledger';
@@ -24,11 +24,11 @@
 }));
 
 /**
- * Runs the load.
+ * Sends the load and prints the results.
  *
- * @param platformUrl - `http://IP:PORT` of the platform stand-in
- * @param durationMs - how long to send
- * @returns whether the books are right and something was answered
+ * @param platformUrl - `http://IP:PORT` of the fake platform
+ * @param durationMs - how long to send requests, in milliseconds
+ * @returns whether the ledger is correct and at least one request was answered
  */
 export async function runDemoLoad(platformUrl: string, durationMs: number): Promise<boolean> {
   const clock = new SystemClock();
@@ -39,13 +39,16 @@
   const outcomes = await runLoad({ urls, traffic: demoTraffic, durationMs });
   const statuses = await Promise.all(budgets.map((budget) => readBudget(store, budget)));
   process.stdout.write(`${formatReport(outcomes, statuses)}\n\n`);
-  const faults = compareWithRecords(await readRecords(listed, store));
-  for (const fault of faults) process.stdout.write(`FAULT ${fault.kind}: ${fault.what}\n`);
+  const mismatches = compareWithRecords(await readRecords(listed, store));
+  for (const mismatch of mismatches)
+    process.stdout.write(`FAULT ${mismatch.kind}: ${mismatch.what}\n`);
   const answered = outcomes.reduce((sum, outcome) => sum + outcome.answered, 0);
   const verdict =
-    faults.length === 0 ? 'the books equal what the stand-ins did' : 'the books are wrong';
+    mismatches.length === 0
+      ? 'the ledger matches the records of the fake upstreams'
+      : 'the ledger does not match the records of the fake upstreams';
   process.stdout.write(`${answered} answered; ${verdict}\n`);
-  return faults.length === 0 && answered > 0;
+  return mismatches.length === 0 && answered > 0;
 }
 
 async function readRecords(
--- a/packages/standins/src/demo/report.ts
+++ b/packages/standins/src/demo/report.ts
@@ -1,11 +1,11 @@
 /**
- * What the demonstration prints at its end.
+ * The report that the demonstration prints at its end.
  */
 import type { BudgetStatus } from '@acaciacrank/ledger';
 import { formatTable, type ResultRow } from '../printTable/index.js';
 import type { ClassOutcome } from '../runLoad/index.js';
 
-/** One row a class. */
+/** Creates one row for each class. */
 export function classRows(outcomes: readonly ClassOutcome[]): ResultRow[] {
   return outcomes.map((outcome) => ({
     class: outcome.className,
@@ -20,7 +20,7 @@
   }));
 }
 
-/** One row a budget. */
+/** Creates one row for each budget. */
 export function budgetRows(
   budgets: readonly BudgetStatus[],
   outcomes: readonly ClassOutcome[],
@@ -37,7 +37,7 @@
   }));
 }
 
-/** Both tables, with headings. */
+/** Formats both tables with headings. */
 export function formatReport(
   outcomes: readonly ClassOutcome[],
   budgets: readonly BudgetStatus[],
--- a/packages/standins/src/demo/traffic.ts
+++ b/packages/standins/src/demo/traffic.ts
@@ -1,45 +1,45 @@
 /**
- * The traffic of the demonstration: both deployments' kinds, in the small.
+ * The traffic of the demonstration: a scaled-down mix of the requests of both deployments.
  */
 import type { TrafficKind } from '../runLoad/index.js';
 
-const trades = { accountKey: 'demo-key-wellington', budgetId: 'wellington-2026' };
-const parks = { accountKey: 'demo-key-envigado', budgetId: 'envigado-2026' };
+const wellingtonAccount = { accountKey: 'demo-key-wellington', budgetId: 'wellington-2026' };
+const envigadoAccount = { accountKey: 'demo-key-envigado', budgetId: 'envigado-2026' };
 
-/** Kāpiti's reviews, shift prompts and records; Refugios' plans, chat and bookings. */
+/** Kāpiti (account of Wellington): reviews, shift prompts, records. Refugios (Envigado): plans, tagging, bookings. */
 export const demoTraffic: readonly TrafficKind[] = [
   {
-    ...trades,
+    ...wellingtonAccount,
     className: 'review',
     requestsPerSecond: 0.5,
     target: { kind: 'chat', model: 'tutor-large', promptBytes: 3_000, maxTokens: 150 },
   },
   {
-    ...trades,
+    ...wellingtonAccount,
     className: 'shift',
     requestsPerSecond: 6,
     target: { kind: 'chat', model: 'tutor-large', promptBytes: 400, maxTokens: 40 },
   },
   {
-    ...trades,
+    ...wellingtonAccount,
     className: 'records',
     requestsPerSecond: 3,
     target: { kind: 'service', service: 'trainee-records', method: 'POST', path: '/certificates' },
   },
   {
-    ...parks,
+    ...envigadoAccount,
     className: 'review',
     requestsPerSecond: 0.5,
     target: { kind: 'chat', model: 'asistente', promptBytes: 2_000, maxTokens: 150 },
   },
   {
-    ...parks,
+    ...envigadoAccount,
     className: 'tagging',
     requestsPerSecond: 4,
     target: { kind: 'chat', model: 'asistente', promptBytes: 200, maxTokens: 20 },
   },
   {
-    ...parks,
+    ...envigadoAccount,
     className: 'records',
     requestsPerSecond: 3,
     target: { kind: 'service', service: 'reservas-app', method: 'GET', path: '/shelters?free=1' },
--- a/packages/standins/src/faults/checkRecords/index.ts
+++ b/packages/standins/src/faults/checkRecords/index.ts
@@ -162,7 +162,7 @@
 
 function leavingViolations(context: StoryContext): Violation[] {
   return [...context.fleet.clients.engines.values()].flatMap((engine) =>
-    engine.offeredWhileLeaving
+    engine.requestsWhileLeaving
       .filter(({ sinceLeavingMs }) => sinceLeavingMs > leavingNoticeMs)
       .map(({ sinceLeavingMs }) =>
         violation('noWorkAfterLeaving', `${engine.id} was offered work after ${sinceLeavingMs} ms`),
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the systems served, and what experiments and fault runs share.
+ * Fakes of the platform, engines and services, and helpers shared by experiments and fault tests.
  */
 export * from './LocalGrantNetwork/index.js';
 export * from './MemoryFleet/index.js';
--- a/packages/standins/src/operatorCommands/test.ts
+++ b/packages/standins/src/operatorCommands/test.ts
@@ -24,8 +24,8 @@
 import { markedText } from '../configuration/_lib/configurationDocument/index.js';
 import { MemoryInstanceList, MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 
-/** Ports of instances in this process; one that is not reachable does not answer. */
-class LocalPorts extends OperatorPortClient {
+/** Fake operator ports of instances; those in {@link unreachable} do not respond. */
+class LocalOperatorPortClient extends OperatorPortClient {
   readonly watchers = new Map<string, ConfigurationWatcher>();
   readonly unreachable = new Set<string>();
   readonly drained: string[] = [];
@@ -56,13 +56,13 @@
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   const store = new MemoryObjectStore(platform, clock);
-  const ports = new LocalPorts();
-  const list = new MemoryInstanceList(platform, store.link);
+  const operatorPorts = new LocalOperatorPortClient();
+  const instanceList = new MemoryInstanceList(platform, store.link);
   const context: CommandContext = {
     clock,
     store,
-    instanceList: list,
-    operatorPortClient: ports,
+    instanceList,
+    operatorPortClient: operatorPorts,
     waitMs: 10_000,
   };
   const start = async (id: string, environment: string) => {
@@ -77,7 +77,7 @@
     const own = environmentStore(new MemoryObjectStore(platform, clock), environment);
     const instanceId = id as InstanceId;
     const watcher = new ConfigurationWatcher({ store: own, clock, environment, instanceId });
-    ports.watchers.set(id, watcher);
+    operatorPorts.watchers.set(id, watcher);
     await clock.runUntil(watcher.start());
     t.teardown(() => watcher[Symbol.asyncDispose]());
   };
@@ -91,20 +91,23 @@
     return path;
   };
   const run = <Value>(work: Promise<Value>) => clock.runUntil(work);
-  return { clock, platform, store, ports, context, start, file, run };
+  return { clock, platform, store, operatorPorts, context, start, file, run };
 }
 
-async function refused(t: ExecutionContext, work: Promise<unknown>): Promise<RouterError> {
+async function expectRouterError(
+  t: ExecutionContext,
+  work: Promise<unknown>,
+): Promise<RouterError> {
   const error = await t.throwsAsync(work);
   if (error instanceof RouterError) return error;
-  throw new Error('the wrong error was thrown');
+  throw new Error('expected a RouterError');
 }
 
-test('a change goes from trial to production and back, and each step says what is in force', async (t) => {
+test('a change goes from trial to production and back, and each step reports what is in force', async (t) => {
   const { context, start, file, run } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   for (const id of ['i1', 'i2']) await start(id, 'kapiti');
-  t.is((await refused(t, run(runPromote(context, file(10))))).kind, 'notTried');
+  t.is((await expectRouterError(t, run(runPromote(context, file(10))))).kind, 'notTried');
   for (const mark of [10, 20]) {
     const tried = await run(runTry(context, file(mark)));
     t.true(tried.isCertain);
@@ -126,14 +129,14 @@
   t.regex(status.text, /porirua-2026: prepaid 10, spent 0/);
 });
 
-// One of two instances cannot be reached after a promotion. The operator leaves for half a year in
-// the belief that all is well, unless the command says what it does not know.
-test('an instance that does not answer is unknown, never fine', async (t) => {
-  const { context, start, file, run, ports } = await setUp(t);
+// Guards against reporting success while the state of an instance is unknown: one of two instances
+// cannot be reached after a promotion, and the operator may not check again for half a year.
+test('an instance that does not respond is reported as unknown', async (t) => {
+  const { context, start, file, run, operatorPorts } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   for (const id of ['i1', 'i2']) await start(id, 'kapiti');
   await run(runTry(context, file(10)));
-  ports.unreachable.add('i2');
+  operatorPorts.unreachable.add('i2');
   const promoted = await run(runPromote(context, file(10)));
   t.false(promoted.isCertain);
   t.regex(promoted.text, /In force on 1 of 2 listed instances; 0 not yet, 1 unknown/);
@@ -142,8 +145,9 @@
   t.regex(status.text, /i2 \(wellington, live\): UNKNOWN: it did not answer/);
 });
 
-// The store and the list do not answer. A status that shows an empty list would read as "all fine".
-test('with the platform down, status says that it knows nothing', async (t) => {
+// Guards against showing an empty list, which reads as "no problem", when the store and the instance
+// list do not respond.
+test('status reports everything as unknown while the platform is down', async (t) => {
   const { context, start, run, store } = await setUp(t);
   await start('i1', 'kapiti');
   store.link.isDown = true;
@@ -153,9 +157,9 @@
   t.regex(status.text, /Where it is in force is unknown/);
 });
 
-// The store takes a promotion, its answer is lost, and it stays silent. Told "failed", the operator
-// would believe that production is as it was.
-test('a promotion whose answer was lost for good is unknown', async (t) => {
+// Guards against reporting a promotion as failed when the store has written it but its response is lost
+// and the store stays unreachable: the operator would believe that production is unchanged.
+test('the outcome of a promotion whose response is lost is unknown', async (t) => {
   const { context, start, file, run, store } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   await run(runTry(context, file(10)));
@@ -166,25 +170,26 @@
     store.link.isDown = true;
     throw new RouterError('storeUnavailable', 'the platform did not answer');
   };
-  const error = await refused(t, run(runPromote(context, file(10))));
+  const error = await expectRouterError(t, run(runPromote(context, file(10))));
   t.deepEqual([error.ran, exitCodeOf(error)], ['unknown', 5]);
   store.link.isDown = false;
   t.regex((await run(runStatus(context, 'kapiti'))).text, /Version 1 of kapiti is accepted/);
 });
 
-// Trial has accepted a document and no instance of trial is running. The promotion must wait for one.
-test('a document that no trial instance took up is not called tried', async (t) => {
+// Guards against promoting a document that the trial environment has accepted while no trial instance
+// runs. The promotion must be refused until one has applied it.
+test('a document that no trial instance has applied does not count as tried', async (t) => {
   const { context, file, run } = await setUp(t);
   const tried = await run(runTry(context, file(10)));
   t.false(tried.isCertain);
   t.regex(tried.text, /whether it will is unknown\.\nNext: start an instance/);
-  const error = await refused(t, run(runPromote(context, file(10))));
+  const error = await expectRouterError(t, run(runPromote(context, file(10))));
   t.deepEqual([error.kind, exitCodeOf(error)], ['notTried', 3]);
 });
 
-// The answer to a top-up is lost and the operator, not knowing, runs it again. The customer paid
-// once and must get the tokens once.
-test('a top-up whose answer was lost is unknown, and adds its tokens once', async (t) => {
+// Guards against adding the tokens of one payment twice: the response to a top-up is lost and the
+// operator runs the same top-up again.
+test('the outcome of a top-up whose response is lost is unknown, and a repeat adds no tokens', async (t) => {
   const { context, start, file, run, store } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   await run(runTry(context, file(10)));
@@ -196,38 +201,38 @@
     store.link.isDown = true;
     throw new RouterError('storeUnavailable', 'the platform did not answer');
   };
-  const error = await refused(t, run(runTopUp(context, options)));
+  const error = await expectRouterError(t, run(runTopUp(context, options)));
   t.deepEqual([error.ran, exitCodeOf(error)], ['unknown', 5]);
   store.write = write;
   store.link.isDown = false;
   t.is((await run(runTopUp(context, options))).data.prepaidTokens, 60);
   const shown = await run(runBudget(context, 'kapiti', 'porirua-2026'));
   t.regex(shown.text, /prepaid 60, spent 0, .*\(client account porirua\)/);
-  // A budget of the same name in trial is another one.
+  // The budget of the same name in the trial environment is a separate one.
   const trial = await run(runBudget(context, 'kapiti.trial', 'porirua-2026'));
   t.is(trial.data.prepaidTokens, 10);
 });
 
-test('drain takes a listed instance of the environment only', async (t) => {
-  const { context, start, run, ports } = await setUp(t);
+test('drain accepts only listed instances of the environment', async (t) => {
+  const { context, start, run, operatorPorts } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   await start('i1', 'kapiti');
   t.regex((await run(runDrain(context, 'kapiti', 'i1'))).text, /2 requests under way are finished/);
-  const error = await refused(t, run(runDrain(context, 'kapiti', 'trial-1')));
+  const error = await expectRouterError(t, run(runDrain(context, 'kapiti', 'trial-1')));
   t.regex(error.message, /lists no instance trial-1 of kapiti; it lists: i1/);
-  t.deepEqual(ports.drained, ['i1']);
+  t.deepEqual(operatorPorts.drained, ['i1']);
 });
 
-test('explain knows the kinds, and names them when it does not', async (t) => {
+test('explain describes an error kind, and lists all kinds if it is unknown', async (t) => {
   t.is(runExplain('budgetExhausted').data.httpStatus, 402);
-  const error = await refused(
+  const error = await expectRouterError(
     t,
     Promise.resolve().then(() => runExplain('constructor')),
   );
   t.regex(error.message, /there is no error kind constructor; kinds are: badDocument, /);
 });
 
-test('without the key or the address of a port its instance is unknown', async (t) => {
+test('an instance is unknown if the key or the address of its operator port is missing', async (t) => {
   const clock = new ManualClock();
   const entry = {
     id: 'i1' as InstanceId,
@@ -236,9 +241,12 @@
     failureDomain: 'wellington' as FailureDomainId,
     state: 'live',
   } as const;
-  const noAddress = new HttpOperatorPortClient({ clock, key: 'secret' });
-  t.regex((await refused(t, noAddress.status(entry))).message, /does not say where/);
-  const noKey = new HttpOperatorPortClient({ clock, key: undefined });
+  const clientWithKey = new HttpOperatorPortClient({ clock, key: 'secret' });
+  t.regex((await expectRouterError(t, clientWithKey.status(entry))).message, /does not say where/);
+  const clientWithoutKey = new HttpOperatorPortClient({ clock, key: undefined });
   const listed = { ...entry, operatorsUrl: 'http://127.0.0.1:9' };
-  t.regex((await refused(t, noKey.status(listed))).message, /no operators' key/);
+  t.regex(
+    (await expectRouterError(t, clientWithoutKey.status(listed))).message,
+    /no operators' key/,
+  );
 });
--- a/packages/standins/src/printTable/index.ts
+++ b/packages/standins/src/printTable/index.ts
@@ -1,4 +1,4 @@
-/** One row of a result: a flat object whose field names carry units. */
+/** One result row: a flat object whose field names include units. */
 export type ResultRow = Readonly<Record<string, string | number | boolean | null>>;
 
 /** Options of {@link printTable}. */
@@ -8,10 +8,10 @@
 }
 
 /**
- * Prints rows as a table for people, or as JSON.
+ * Prints rows as a text table or as JSON.
  *
- * @param rows - what to print; the columns are the first row's fields
- * @param options - which form
+ * @param rows - the rows to print; the columns are the fields of the first row
+ * @param options - the output format
  *
  * @example
  * printTable([{ case: 'calm', overspendTokens: 0 }]);
@@ -21,10 +21,10 @@
 }
 
 /**
- * Rows as text, in columns.
+ * Formats rows as text with aligned columns.
  *
- * @param rows - what to show
- * @returns one line a row, a heading first
+ * @param rows - the rows to format; the columns are the fields of the first row
+ * @returns a heading line, then one line for each row
  *
  * @example
  * formatTable([{ a: 1 }]);
--- a/packages/standins/src/runLoad/index.ts
+++ b/packages/standins/src/runLoad/index.ts
@@ -3,12 +3,12 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import { Agent, request, type Dispatcher } from 'undici';
 
-/** One kind of traffic, as a deployment's callers make it. */
+/** One kind of request that callers of a deployment send, with its rate. */
 export interface TrafficKind {
   readonly className: string;
   readonly accountKey: string;
   readonly budgetId: string;
-  /** Requests in a second, on average. */
+  /** Average request rate; the intervals are exponentially distributed. */
   readonly requestsPerSecond: number;
   readonly target:
     | {
@@ -27,38 +27,39 @@
 
 /** Options of {@link runLoad}. */
 export interface RunLoadOptions {
-  /** Any instance's `http://IP:PORT`; the directory is asked for the rest. */
+  /** `http://IP:PORT` of instances whose directory is requested, in order of preference. */
   urls: readonly string[];
   traffic: readonly TrafficKind[];
   durationMs: number;
   seed?: number;
 }
 
-/** What one class of callers saw. */
+/** What the callers of one class observed. */
 export interface ClassOutcome {
   readonly className: string;
   answered: number;
   refused: number;
+  /** Requests that failed without a refusal, for example because the stream broke. */
   brokenOff: number;
   billedTokens: number;
   readonly firstTokenMs: Histogram;
   readonly tokenGapMs: Histogram;
-  /** Error kinds, counted. */
+  /** Number of errors by kind. */
   readonly errors: Map<string, number>;
-  /** Refusals by budget. */
+  /** Number of refusals by budget. */
   readonly refusedByBudget: Map<string, number>;
 }
 
-interface Target {
+interface Endpoint {
   readonly url: string;
   readonly dispatcher: Dispatcher;
 }
 
 /**
- * Sends traffic as callers do: asks the directory, keeps its answer, and calls those instances.
+ * Load generator: for each request, looks up an instance in the directory and calls it, as callers do.
  *
- * @param options - where, what and for how long
- * @returns what each class saw
+ * @param options - the instances, the traffic and the duration
+ * @returns what the callers of each class observed
  *
  * @example
  * const outcomes = await runLoad({ urls, traffic, durationMs: 5_000 });
@@ -75,9 +76,9 @@
     outcomes.set(kind.className, outcome);
     for (let count = 0; clock.monotonicMs() - startedMs < options.durationMs; count += 1) {
       await clock.sleep(exponentialMs(random, kind.requestsPerSecond));
-      const url = await askDirectory(options.urls, dispatcher, kind.accountKey);
+      const url = await lookUpInstance(options.urls, dispatcher, kind.accountKey);
       const key = `load-${options.seed ?? 1}-${kindIndex}-${count}`;
-      pending.push(sendOne({ url, dispatcher }, kind, key, outcome));
+      pending.push(sendRequest({ url, dispatcher }, kind, key, outcome));
     }
   });
   await Promise.all(senders);
@@ -110,26 +111,26 @@
   return (-Math.log(1 - random()) / perSecond) * millisecondsInSecond;
 }
 
-async function askDirectory(
+async function lookUpInstance(
   urls: readonly string[],
   dispatcher: Dispatcher,
   accountKey: string,
 ): Promise<string> {
   for (const url of urls) {
     const headers = { authorization: `Bearer ${accountKey}` };
-    const answer = await request(`${url}/directory`, { dispatcher, headers }).catch(
+    const response = await request(`${url}/directory`, { dispatcher, headers }).catch(
       () => undefined,
     );
-    if (answer?.statusCode !== 200) continue;
-    const { instances } = (await answer.body.json()) as { instances: { url: string }[] };
+    if (response?.statusCode !== 200) continue;
+    const { instances } = (await response.body.json()) as { instances: { url: string }[] };
     const [first] = instances;
     if (first !== undefined) return first.url;
   }
-  throw new Error('no instance answered the directory');
+  throw new Error('no instance returned a directory entry');
 }
 
-async function sendOne(
-  target: Target,
+async function sendRequest(
+  target: Endpoint,
   kind: TrafficKind,
   key: string,
   outcome: ClassOutcome,
@@ -151,7 +152,7 @@
 }
 
 async function sendChat(
-  { url, dispatcher }: Target,
+  { url, dispatcher }: Endpoint,
   kind: TrafficKind,
   headers: Record<string, string>,
   outcome: ClassOutcome,
@@ -166,30 +167,30 @@
     stream: true,
   });
   const startedMs = performance.now();
-  const answer = await request(`${url}/v1/chat/completions`, {
+  const response = await request(`${url}/v1/chat/completions`, {
     dispatcher,
     method: 'POST',
     headers,
     body,
   });
-  if (answer.statusCode !== 200) {
-    await countRefusal(answer, outcome, kind.budgetId);
+  if (response.statusCode !== 200) {
+    await countRefusal(response, outcome, kind.budgetId);
     return;
   }
   const reader = new StreamReader(outcome, startedMs);
-  for await (const chunk of answer.body as AsyncIterable<Buffer>)
+  for await (const chunk of response.body as AsyncIterable<Buffer>)
     reader.feed(chunk.toString('utf8'));
-  if (reader.isWhole) outcome.answered += 1;
+  if (reader.isComplete) outcome.answered += 1;
   else outcome.brokenOff += 1;
 }
 
-/** Reads one stream and takes its times. */
+/** Reads one response stream and measures the time to the first token and between tokens. */
 class StreamReader {
-  isWhole = false;
+  isComplete = false;
   readonly #outcome: ClassOutcome;
   readonly #parser = createParser({
     onEvent: (event) => {
-      this.#take(event.data);
+      this.#handleEvent(event.data);
     },
   });
   #lastMs: number;
@@ -204,7 +205,7 @@
     this.#parser.feed(text);
   }
 
-  #take(data: string): void {
+  #handleEvent(data: string): void {
     if (data === '[DONE]') return;
     const event = JSON.parse(data) as {
       error?: { kind: string };
@@ -213,13 +214,13 @@
     };
     if (event.error !== undefined) countError(this.#outcome, event.error.kind);
     if (event.acaciacrank !== undefined) {
-      this.isWhole = true;
+      this.isComplete = true;
       this.#outcome.billedTokens += event.acaciacrank.billedTokens;
     }
-    if (event.sequence === this.#tokens) this.#takeToken();
+    if (event.sequence === this.#tokens) this.#recordToken();
   }
 
-  #takeToken(): void {
+  #recordToken(): void {
     const nowMs = performance.now();
     const histogram = this.#tokens === 0 ? this.#outcome.firstTokenMs : this.#outcome.tokenGapMs;
     histogram.recordValue(Math.round(nowMs - this.#lastMs));
@@ -229,7 +230,7 @@
 }
 
 async function sendService(
-  { url, dispatcher }: Target,
+  { url, dispatcher }: Endpoint,
   kind: TrafficKind,
   headers: Record<string, string>,
   outcome: ClassOutcome,
@@ -238,27 +239,27 @@
   const { service, method, path } = kind.target;
   const startedMs = performance.now();
   const hasBody = method !== 'GET';
-  const answer = await request(`${url}/services/${service}${path}`, {
+  const response = await request(`${url}/services/${service}${path}`, {
     dispatcher,
     method: method as 'GET',
     headers,
     ...(hasBody ? { body: JSON.stringify({ key: headers['idempotency-key'] }) } : {}),
   });
-  if (answer.statusCode >= 400) {
-    await countRefusal(answer, outcome, kind.budgetId);
+  if (response.statusCode >= 400) {
+    await countRefusal(response, outcome, kind.budgetId);
     return;
   }
-  await answer.body.dump();
+  await response.body.dump();
   outcome.answered += 1;
   outcome.firstTokenMs.recordValue(Math.round(performance.now() - startedMs));
 }
 
 async function countRefusal(
-  answer: Dispatcher.ResponseData,
+  response: Dispatcher.ResponseData,
   outcome: ClassOutcome,
   budgetId: string,
 ): Promise<void> {
-  const { error } = (await answer.body.json()) as { error: { kind: string } };
+  const { error } = (await response.body.json()) as { error: { kind: string } };
   outcome.refused += 1;
   const { refusedByBudget } = outcome;
   refusedByBudget.set(budgetId, (refusedByBudget.get(budgetId) ?? 0) + 1);
