--- a/packages/standins/src/faults/StoryContext/index.ts
+++ b/packages/standins/src/faults/StoryContext/index.ts
@@ -8,9 +8,9 @@
 import { accountKey, budget } from '../document.js';
 import type { StepGate } from '../StepGate/index.js';
 import type { Violation } from '../types.js';
-import { GatedStore } from '../wrapInstance/index.js';
+import { FaultInjectingStore } from '../wrapInstance/index.js';
 
-/** What one call at one instance came to, as its caller saw it. */
+/** Outcome of one call at one instance, as its caller observed it. */
 export interface AttemptOutcome {
   readonly key: string;
   readonly kind: 'chat' | 'service';
@@ -21,51 +21,51 @@
   final: ChatFinalFrame | undefined;
   answer: ServiceResponse | undefined;
   error: RouterError | undefined;
-  /** The caller hung up before the end. */
+  /** Whether the caller closed the connection before the end. */
   hasHungUp: boolean;
-  /** The connection broke because the instance crashed. */
+  /** Whether the connection broke because the instance crashed. */
   isCrashed: boolean;
-  /** The caller waited as long as it ever waits. */
-  isStuck: boolean;
+  /** Whether the caller stopped waiting after its timeout. */
+  hasTimedOut: boolean;
 }
 
 /** Options of a chat attempt. */
 export interface ChatAttemptOptions {
-  /** The caller hangs up after this many tokens. */
+  /** Number of tokens after which the caller closes the connection. */
   hangUpAfterTokens?: number;
 }
 
 /** Options of {@link StoryContext}. */
 export interface StoryContextOptions {
-  /** What the budget opens with, in tokens. */
+  /** Opening balance of the budget, in tokens. */
   openingTokens?: number;
-  /** Whether engines check fencing numbers; only a deliberate break says no. */
-  areNumbersChecked?: boolean | undefined;
-  /** A deliberate break of operators' connections. */
-  changeStore?: ((store: ObjectStore) => ObjectStore) | undefined;
+  /** Whether engines check fencing numbers; false only in a mutation. */
+  isFencingChecked?: boolean | undefined;
+  /** Mutates the store connections of operators. */
+  wrapOperatorStore?: ((store: ObjectStore) => ObjectStore) | undefined;
 }
 
-/** How long a caller waits for an answer, in milliseconds; longer than two pauses. */
-const callerPatienceMs = 700_000;
+/** How long a caller waits for a response, in milliseconds; longer than two process pauses. */
+const callerTimeoutMs = 700_000;
 
-/** What a story acts with, and what it leaves to be checked. */
+/** The fleet and the callers of a story, and the outcomes that are checked after it. */
 export class StoryContext {
   readonly fleet: LocalFleet;
   readonly gate: StepGate;
   readonly attempts: AttemptOutcome[] = [];
   readonly violations: Violation[] = [];
-  readonly areNumbersChecked: boolean;
-  /** Every bill that ever stood in a page, by its key; pages keep keys for a while only. */
+  readonly isFencingChecked: boolean;
+  /** Every bill ever written to a ledger page, by its key; pages retain keys only for a limited time. */
   readonly bills = new Map<string, PageBill>();
-  /** Top-up ids that were used, with their tokens. */
+  /** Tokens of each top-up, by its id. */
   readonly topUps = new Map<string, number>();
 
-  readonly #changeStore: (store: ObjectStore) => ObjectStore;
+  readonly #wrapOperatorStore: (store: ObjectStore) => ObjectStore;
   readonly #openingTokens: number;
 
   constructor(fleet: LocalFleet, gate: StepGate, options: StoryContextOptions = {}) {
-    this.#changeStore = options.changeStore ?? ((store) => store);
-    this.areNumbersChecked = options.areNumbersChecked ?? true;
+    this.#wrapOperatorStore = options.wrapOperatorStore ?? ((store) => store);
+    this.isFencingChecked = options.isFencingChecked ?? true;
     this.#openingTokens = options.openingTokens ?? budget.openingTokens;
     this.fleet = fleet;
     this.gate = gate;
@@ -75,37 +75,41 @@
     for (const local of fleet.instances) this.watchVersion(local);
   }
 
-  /** What was prepaid, by what the story did and not by what the ledger says. */
+  /** Prepaid tokens, computed from the actions of the story and not read from the ledger. */
   get prepaidTokens(): number {
     return [...this.topUps.values()].reduce((sum, tokens) => sum + tokens, this.#openingTokens);
   }
 
-  /** An instance by its place, 0 first. */
+  /**
+   * Returns an instance by its index, from 0.
+   *
+   * @throws Error if there is no such instance
+   */
   instance(index: number): LocalInstance {
     const local = this.fleet.instances[index];
     if (local === undefined) throw new Error(`there is no instance ${index}`);
     return local;
   }
 
-  /** An operator's own store connection, behind the gate. */
-  operatorStore(name: string): GatedStore {
+  /** Creates the store connection of an operator, with fault injection. */
+  operatorStore(name: string): FaultInjectingStore {
     const store = new MemoryObjectStore(this.fleet.platform, this.fleet.clock);
-    return new GatedStore(this.gate, name, this.#changeStore(store));
+    return new FaultInjectingStore(this.gate, name, this.#wrapOperatorStore(store));
   }
 
-  /** Calls one instance and waits for the end, whatever it is. */
+  /** Sends a chat request to one instance and waits for its outcome. */
   async chat(
     index: number,
     key: string,
     options: ChatAttemptOptions = {},
   ): Promise<AttemptOutcome> {
     const local = this.instance(index);
-    const outcome = this.#begin('chat', key, local);
+    const outcome = this.#startAttempt('chat', key, local);
     const hangUp = new AbortController();
     const work = async () => {
       refuseWhenLeaving(local);
       for await (const frame of local.instance.chat.run(chatCall(key), hangUp.signal)) {
-        if (frame.kind === 'final') this.#takeFinal(outcome, frame);
+        if (frame.kind === 'final') this.#handleFinalFrame(outcome, frame);
         else outcome.text += frame.text;
         const delivered = frame.kind === 'token' ? frame.sequence + 1 : 0;
         if (delivered === options.hangUpAfterTokens) {
@@ -115,16 +119,16 @@
         }
       }
     };
-    await this.#finish(outcome, work, hangUp);
+    await this.#awaitEnd(outcome, work, hangUp);
     return outcome;
   }
 
-  /** Calls a plain service at one instance and waits for the end, whatever it is. */
+  /** Calls a plain service through one instance and waits for the outcome. */
   async service(index: number, key: string, method: string): Promise<AttemptOutcome> {
     const local = this.instance(index);
-    const outcome = this.#begin('service', key, local);
+    const outcome = this.#startAttempt('service', key, local);
     const hangUp = new AbortController();
-    await this.#finish(
+    await this.#awaitEnd(
       outcome,
       async () => {
         refuseWhenLeaving(local);
@@ -135,8 +139,8 @@
     return outcome;
   }
 
-  /** Retries as callers do: at the next instance, until there is an answer or no use in more. */
-  async untilAnswered(
+  /** Retries at the next instance, as callers do, until there is a response or an error without a retry time. */
+  async retryUntilAnswered(
     attempt: (index: number) => Promise<AttemptOutcome>,
     maxAttempts = 4,
   ): Promise<AttemptOutcome> {
@@ -149,7 +153,7 @@
     }
   }
 
-  #begin(kind: 'chat' | 'service', key: string, local: LocalInstance): AttemptOutcome {
+  #startAttempt(kind: 'chat' | 'service', key: string, local: LocalInstance): AttemptOutcome {
     const nowMs = this.fleet.clock.monotonicMs();
     const outcome: AttemptOutcome = {
       key,
@@ -163,14 +167,14 @@
       error: undefined,
       hasHungUp: false,
       isCrashed: false,
-      isStuck: false,
+      hasTimedOut: false,
     };
     this.attempts.push(outcome);
     return outcome;
   }
 
-  /** The request's work, the instance's crash and the caller's patience race. */
-  async #finish(
+  /** Waits for the end of the request, the crash of the instance or the timeout of the caller. */
+  async #awaitEnd(
     outcome: AttemptOutcome,
     work: () => Promise<void>,
     hangUp: AbortController,
@@ -179,21 +183,21 @@
     const crashed = this.gate.whenDead(outcome.instanceId).then(() => {
       outcome.isCrashed = true;
     });
-    const patience = new AbortController();
-    const stuck = clock.sleep(callerPatienceMs, patience.signal).then(() => {
-      if (!patience.signal.aborted) outcome.isStuck = true;
+    const timeoutAbort = new AbortController();
+    const timedOut = clock.sleep(callerTimeoutMs, timeoutAbort.signal).then(() => {
+      if (!timeoutAbort.signal.aborted) outcome.hasTimedOut = true;
     });
-    const done = work().catch((thrown: unknown) => {
+    const finished = work().catch((thrown: unknown) => {
       outcome.error = toRouterError(thrown);
     });
-    await Promise.race([done, crashed, stuck]);
-    patience.abort();
-    if (outcome.isStuck) hangUp.abort();
+    await Promise.race([finished, crashed, timedOut]);
+    timeoutAbort.abort();
+    if (outcome.hasTimedOut) hangUp.abort();
     outcome.endedMs = clock.monotonicMs();
   }
 
-  /** The bill must be in the store at the moment when the caller receives the final frame. */
-  #takeFinal(outcome: AttemptOutcome, final: ChatFinalFrame): void {
+  /** Checks that the bill is in the store at the time at which the caller receives the final frame. */
+  #handleFinalFrame(outcome: AttemptOutcome, final: ChatFinalFrame): void {
     outcome.final = final;
     const pages = this.fleet.platform.objects().filter(({ key }) => key.startsWith('ledger/'));
     const isBilled = pages
@@ -203,28 +207,32 @@
           ({ bills }) => bills[`${budget.budgetId}/${outcome.key}`] !== undefined,
         ),
       );
-    if (!isBilled) this.#violate('billBeforeFinalFrame', `${outcome.key} had no bill`);
+    if (!isBilled) this.#reportViolation('billBeforeFinalFrame', `${outcome.key} had no bill`);
   }
 
   #checkPage(key: string, value: unknown): void {
     if (!key.startsWith('ledger/')) return;
     for (const [budgetId, entry] of Object.entries(parsePage(key, value).budgets)) {
       const granted = Object.values(entry.grants).reduce((sum, grant) => sum + grant.tokens, 0);
-      for (const [requestKey, bill] of Object.entries(entry.bills)) this.#seeBill(requestKey, bill);
+      for (const [requestKey, bill] of Object.entries(entry.bills))
+        this.#recordBill(requestKey, bill);
       const used = entry.settledTokens + granted;
       if (used <= this.prepaidTokens) continue;
-      this.#violate('overspend', `${budgetId}: ${used} of ${this.prepaidTokens}`);
+      this.#reportViolation('overspend', `${budgetId}: ${used} of ${this.prepaidTokens}`);
     }
   }
 
-  #seeBill(requestKey: string, bill: PageBill): void {
-    const known = this.bills.get(requestKey);
+  #recordBill(requestKey: string, bill: PageBill): void {
+    const earlier = this.bills.get(requestKey);
     this.bills.set(requestKey, bill);
-    if (known === undefined || known.requestId === bill.requestId) return;
-    this.#violate('oneBillPerKey', `${requestKey}: ${known.requestId}, then ${bill.requestId}`);
+    if (earlier === undefined || earlier.requestId === bill.requestId) return;
+    this.#reportViolation(
+      'oneBillPerKey',
+      `${requestKey}: ${earlier.requestId}, then ${bill.requestId}`,
+    );
   }
 
-  /** Watches that an instance never acts on a lower version. */
+  /** Checks from now on that an instance never applies a lower configuration version. */
   watchVersion(local: LocalInstance): void {
     let highest = 0;
     const { configuration } = local.instance;
@@ -232,7 +240,7 @@
       (inForce) => {
         const version = inForce?.version ?? 0;
         if (version < highest) {
-          this.#violate('versionNeverFalls', `${local.id}: ${version} after ${highest}`);
+          this.#reportViolation('versionNeverFalls', `${local.id}: ${version} after ${highest}`);
         }
         highest = Math.max(highest, version);
       },
@@ -240,12 +248,12 @@
     );
   }
 
-  #violate(invariant: Violation['invariant'], what: string): void {
+  #reportViolation(invariant: Violation['invariant'], what: string): void {
     this.violations.push({ invariant, what });
   }
 }
 
-/** As the server before the handlers does. */
+/** Refuses a request while the instance is leaving, as the HTTP server does before its handlers. */
 function refuseWhenLeaving({ id, instance }: LocalInstance): void {
   if (!instance.isAccepting) throw new RouterError('instanceLeaving', `${id} is leaving`);
 }
--- a/packages/standins/src/faults/_lib/runInWorkers/index.ts
+++ b/packages/standins/src/faults/_lib/runInWorkers/index.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the matrix with a thread for each story, since stories have nothing in common.
+ * Runs the fault matrix with one worker thread per story; stories share no state.
  */
 import { availableParallelism } from 'node:os';
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads';
@@ -7,7 +7,7 @@
 import type { FaultKind } from '../../types.js';
 import { runMatrix, type MatrixCell } from '../../runMatrix/index.js';
 
-/** What a thread is told. */
+/** Input of a worker thread. */
 export interface StoryTask {
   readonly story: string;
   readonly seed: number;
@@ -15,25 +15,25 @@
   readonly faults?: readonly FaultKind[];
 }
 
-/** Cores left to others. */
-const sparedCores = 2;
+/** Number of cores left free for other processes. */
+const reservedCores = 2;
 
 /**
- * Runs each task in a thread of its own, as many at once as there are cores to spare.
+ * Runs each task in its own thread, with at most one thread per core that is not reserved.
  *
  * @returns the cells, in the order of the tasks
  */
 export async function runInWorkers(tasks: readonly StoryTask[]): Promise<MatrixCell[]> {
   const cells: MatrixCell[][] = [];
   const waiting = [...tasks.entries()];
-  const thread = async () => {
+  const processTasks = async () => {
     for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
       const [index, task] = next;
       cells[index] = await runInWorker(task);
     }
   };
-  const threads = Math.max(1, availableParallelism() - sparedCores);
-  await Promise.all(Array.from({ length: threads }, thread));
+  const threadCount = Math.max(1, availableParallelism() - reservedCores);
+  await Promise.all(Array.from({ length: threadCount }, processTasks));
   return cells.flat();
 }
 
--- a/packages/standins/src/faults/_lib/testStory/index.ts
+++ b/packages/standins/src/faults/_lib/testStory/index.ts
@@ -1,34 +1,36 @@
 /**
- * The test that every story has.
+ * The tests that every story has.
  */
 import test from 'ava';
 import { mutations } from '../../mutations/index.js';
-import { findsMutation, runMatrix } from '../../runMatrix/index.js';
+import { detectsMutation, runMatrix } from '../../runMatrix/index.js';
 import { storyNamed } from '../../stories/index.js';
 
-/** So many steps are broken in every way; `npm run faults` takes all of them. */
-const maxSteps = 10;
+/** Approximate number of steps at which each fault is injected; `npm run faults` covers all steps. */
+const maxTestedSteps = 10;
 
 /**
- * Declares the tests of one story: it holds under every fault, and the checks find every deliberate
- * break that shows in it.
+ * Declares the tests of one story: all invariants hold under every fault, and the checks detect every
+ * mutation that is assigned to the story.
  */
 export function testStory(name: string): void {
   const story = storyNamed(name);
 
-  // What a user trusts: whatever fails at whatever step, nobody is charged twice or beyond the
-  // budget, nobody gets another's answer, and "not run" is true.
-  test(`${name} holds under every fault at steps spread evenly`, async (t) => {
-    const cells = await runMatrix({ stories: [story], maxSteps });
+  // Guards against violations under a fault at any step: billing twice or beyond the budget, a response
+  // that belongs to another request, and a request that ran although its error says "not run".
+  test(`${name} violates no invariant under any fault at evenly spaced steps`, async (t) => {
+    const cells = await runMatrix({ stories: [story], maxSteps: maxTestedSteps });
     const failing = cells.filter(({ violations }) => violations > 0);
-    const told = failing.map(({ command, firstViolation }) => `${firstViolation} <- ${command}`);
-    t.deepEqual(told, []);
+    const failures = failing.map(
+      ({ command, firstViolation }) => `${firstViolation} <- ${command}`,
+    );
+    t.deepEqual(failures, []);
     t.true(cells.every(({ runs }) => runs > 0));
   });
 
-  for (const mutation of mutations.filter((known) => known.story === name)) {
-    test(`the check of ${mutation.invariant} finds that ${mutation.what}`, async (t) => {
-      t.true(await findsMutation(story, mutation));
+  for (const mutation of mutations.filter((candidate) => candidate.story === name)) {
+    test(`the check of ${mutation.invariant} detects the mutation: ${mutation.what}`, async (t) => {
+      t.true(await detectsMutation(story, mutation));
     });
   }
 }
--- a/packages/standins/src/faults/document.ts
+++ b/packages/standins/src/faults/document.ts
@@ -1,13 +1,13 @@
 /**
- * The environment document that the stories run on: small budgets, short answers.
+ * The environment document of the stories: small budgets and short responses.
  */
 import { digestText, type AccountId, type BudgetId } from '@acaciacrank/base';
 import type { BudgetRef } from '@acaciacrank/ledger';
 
-/** The key of the one client account. */
+/** The key of the only client account. */
 export const accountKey = 'fault-key';
 
-/** The one budget; it suffices for a few requests only, so that its limit is met. */
+/** The only budget; it covers only a few requests, so that stories reach its limit. */
 export const budget: BudgetRef = {
   accountId: 'one' as AccountId,
   budgetId: 'one-2026' as BudgetId,
@@ -15,10 +15,10 @@
 };
 
 /**
- * The document with its first line changed, so that a promotion has something to promote.
+ * Returns the document with a note in its first line, so that a promotion has a change to promote.
  *
- * @param note - goes into a comment
- * @param openingTokens - what the budget opens with
+ * @param note - text of the comment in the first line
+ * @param openingTokens - opening balance of the budget
  *
  * @example
  * storyDocument('second').startsWith('# second');
--- a/packages/standins/src/faults/mutations/index.ts
+++ b/packages/standins/src/faults/mutations/index.ts
@@ -1,6 +1,6 @@
 /**
- * Deliberate breaks, one for each invariant, that the checks must find. They replace an instance's
- * parts and are used by tests alone, so that no check can be empty without being noticed.
+ * Mutations that the checks must detect, at least one for each invariant. They replace dependencies of an
+ * instance and are used only in tests, to show that no check is ineffective.
  */
 import { Clock, RouterError, type ManualClock, type RequestId } from '@acaciacrank/base';
 import { NoFleetLinks } from '@acaciacrank/fleet';
@@ -27,26 +27,27 @@
 } from '@acaciacrank/upstreams';
 import type { FaultKind, InvariantName } from '../types.js';
 
-/** One deliberate break. */
+/** One deliberate defect. */
 export interface Mutation {
   readonly invariant: InvariantName;
-  /** What is broken. */
+  /** Description of the defect. */
   readonly what: string;
-  /** The story in which it shows. */
+  /** The story in which the defect is detectable. */
   readonly story: string;
-  /** The fault with which it shows, at some step; undefined where it shows without one. */
+  /** The fault that, at some step, makes the defect detectable; undefined if none is needed. */
   readonly fault?: FaultKind;
+  /** Replaces dependencies of an instance before its start. */
   readonly mutate: (parts: InstanceOptions) => InstanceOptions;
   /** Changes an instance after its start. */
-  readonly tamper?: (instance: Instance, clock: ManualClock) => void;
+  readonly mutateAfterStart?: (instance: Instance, clock: ManualClock) => void;
   /** Whether engines check fencing numbers. */
-  readonly areNumbersChecked?: boolean;
-  /** The same break for operators' connections. */
+  readonly isFencingChecked?: boolean;
+  /** Mutates the store connections of operators. */
   readonly operatorStore?: (store: ObjectStore) => ObjectStore;
 }
 
-/** A store with some of its behaviour replaced. */
-class BrokenStore extends ObjectStore {
+/** Delegates to another store; base class of mutated stores. */
+class DelegatingStore extends ObjectStore {
   readonly #store: ObjectStore;
 
   constructor(store: ObjectStore) {
@@ -79,15 +80,15 @@
   }
 }
 
-/** Writes whatever it is given, as if nobody else had written since. */
-class UnconditionalStore extends BrokenStore {
+/** Ignores write conditions, so that concurrent writes are overwritten. */
+class UnconditionalStore extends DelegatingStore {
   override write(key: string, value: unknown): Promise<WriteResult> {
     return super.write(key, value, { kind: 'none' });
   }
 }
 
-/** Sees ledger pages without one of their fields. */
-class ForgetfulStore extends BrokenStore {
+/** Reads ledger pages with one field of each budget emptied. */
+class FieldClearingStore extends DelegatingStore {
   readonly #field: string;
 
   constructor(store: ObjectStore, field: string) {
@@ -106,8 +107,8 @@
   }
 }
 
-/** Sees every budget with ten times what was prepaid. */
-class GenerousStore extends BrokenStore {
+/** Reads every budget with ten times its prepaid tokens. */
+class InflatedBudgetStore extends DelegatingStore {
   override async read(key: string): Promise<StoredObject | undefined> {
     const stored = await super.read(key);
     if (stored === undefined || !key.startsWith('ledger/')) return stored;
@@ -119,8 +120,8 @@
   }
 }
 
-/** Says that a page was written before it is. */
-class HastyStore extends BrokenStore {
+/** Confirms conditional writes of ledger pages without performing them. */
+class UnwrittenPageStore extends DelegatingStore {
   override async write(
     key: string,
     value: unknown,
@@ -133,8 +134,8 @@
   }
 }
 
-/** Forgets that a request was begun. */
-class NoIntentStore extends BrokenStore {
+/** Hides the stored intents of requests and writes new ones unconditionally. */
+class IntentIgnoringStore extends DelegatingStore {
   override write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult> {
     const isIntent = key.startsWith('requests/');
     return super.write(key, value, isIntent ? { kind: 'none' } : condition);
@@ -145,16 +146,16 @@
   }
 }
 
-/** Never answers once the story has begun to write bills. */
-class MuteStore extends BrokenStore {
+/** Never responds to writes of ledger pages. */
+class UnresponsivePageStore extends DelegatingStore {
   override write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult> {
     if (key.startsWith('ledger/')) return new Promise<never>(() => undefined);
     return super.write(key, value, condition);
   }
 }
 
-/** Answers the first manifest that was read for ever, and never tells of a change. */
-class StaleStore extends BrokenStore {
+/** Always returns the first manifest that was read, and reports no changes. */
+class StaleManifestStore extends DelegatingStore {
   #manifest: StoredObject | undefined;
 
   override async read(key: string): Promise<StoredObject | undefined> {
@@ -175,7 +176,7 @@
   }
 }
 
-/** Tells the time and lets no timer run. */
+/** Returns the time but never fires a timer. */
 class StoppedClock extends Clock {
   readonly #clock: Clock;
 
@@ -197,8 +198,8 @@
   }
 }
 
-/** Sees all that is listed as live for ever. */
-class RosyList extends InstanceList {
+/** Returns every listed instance as live. */
+class AlwaysLiveList extends InstanceList {
   readonly #list: InstanceList;
 
   constructor(list: InstanceList) {
@@ -211,33 +212,34 @@
   }
 }
 
-/** Upstream clients with some of their behaviour replaced. */
-class BrokenClients extends UpstreamClients {
+/** Creates mutated engine and service clients. */
+class MutatedClients extends UpstreamClients {
   readonly #clients: UpstreamClients;
-  readonly #breakEngine: (engine: EngineClient) => EngineClient;
-  readonly #breakService: (service: ServiceClient) => ServiceClient;
+  readonly #mutateEngine: (engine: EngineClient) => EngineClient;
+  readonly #mutateService: (service: ServiceClient) => ServiceClient;
 
   constructor(
     clients: UpstreamClients,
-    breakEngine: (engine: EngineClient) => EngineClient,
-    breakService: (service: ServiceClient) => ServiceClient,
+    mutateEngine: (engine: EngineClient) => EngineClient,
+    mutateService: (service: ServiceClient) => ServiceClient,
   ) {
     super();
     this.#clients = clients;
-    this.#breakEngine = breakEngine;
-    this.#breakService = breakService;
+    this.#mutateEngine = mutateEngine;
+    this.#mutateService = mutateService;
   }
 
   override engine(entry: ListedInstance): EngineClient {
-    return this.#breakEngine(this.#clients.engine(entry));
+    return this.#mutateEngine(this.#clients.engine(entry));
   }
 
   override service(entry: ListedInstance): ServiceClient {
-    return this.#breakService(this.#clients.service(entry));
+    return this.#mutateService(this.#clients.service(entry));
   }
 }
 
-class BrokenEngine extends EngineClient {
+/** Delegates to another engine client; base class of mutated engine clients. */
+class DelegatingEngine extends EngineClient {
   readonly #engine: EngineClient;
 
   constructor(engine: EngineClient) {
@@ -266,8 +268,8 @@
   }
 }
 
-/** Puts another answer's word into the stream, under the right id and sequence. */
-class SplicingEngine extends BrokenEngine {
+/** Replaces the text of the second token, with the request id and sequence unchanged. */
+class TokenReplacingEngine extends DelegatingEngine {
   override async *generate(
     request: GenerateRequest,
     signal: AbortSignal,
@@ -279,8 +281,8 @@
   }
 }
 
-/** Reports that all is well and never says that it leaves. */
-class RosyEngine extends BrokenEngine {
+/** Always reports itself as live, and hides the refusals of an engine that is leaving. */
+class AlwaysLiveEngine extends DelegatingEngine {
   override async *generate(
     request: GenerateRequest,
     signal: AbortSignal,
@@ -288,7 +290,7 @@
     try {
       yield* super.generate(request, signal);
     } catch (error) {
-      // Without the engine's refusal there is no sign left by which to know that it leaves.
+      // The error kind must not reveal that the engine is leaving.
       throw new RouterError('upstreamFailed', (error as Error).message);
     }
   }
@@ -298,8 +300,8 @@
   }
 }
 
-/** Runs the call and says that it never reached the service. */
-class DenyingService extends ServiceClient {
+/** Executes the call, then claims that the service was unreachable. */
+class FalselyUnreachableService extends ServiceClient {
   readonly #service: ServiceClient;
 
   constructor(service: ServiceClient) {
@@ -317,16 +319,16 @@
   }
 }
 
-const same = <Part>(part: Part): Part => part;
+const unchanged = <Part>(part: Part): Part => part;
 
-function withStore(change: (store: ObjectStore) => ObjectStore) {
-  return (parts: InstanceOptions): InstanceOptions => ({ ...parts, store: change(parts.store) });
+function withStore(mutate: (store: ObjectStore) => ObjectStore) {
+  return (parts: InstanceOptions): InstanceOptions => ({ ...parts, store: mutate(parts.store) });
 }
 
-function withEngines(change: (engine: EngineClient) => EngineClient) {
+function withEngines(mutate: (engine: EngineClient) => EngineClient) {
   return (parts: InstanceOptions): InstanceOptions => ({
     ...parts,
-    clients: new BrokenClients(parts.clients, change, same),
+    clients: new MutatedClients(parts.clients, mutate, unchanged),
   });
 }
 
@@ -336,19 +338,19 @@
     invariant: 'overspend',
     what: 'a budget in a page looks larger than it is',
     story: 'nearlyEmptyBudget',
-    mutate: withStore((store) => new GenerousStore(store)),
+    mutate: withStore((store) => new InflatedBudgetStore(store)),
   },
   {
     invariant: 'billIsWhole',
     what: 'grants in a page are not seen',
     story: 'nearlyEmptyBudget',
-    mutate: withStore((store) => new ForgetfulStore(store, 'grants')),
+    mutate: withStore((store) => new FieldClearingStore(store, 'grants')),
   },
   {
     invariant: 'oneBillPerKey',
     what: 'bills in a page are not seen',
     story: 'retryElsewhere',
-    mutate: withStore((store) => new ForgetfulStore(store, 'bills')),
+    mutate: withStore((store) => new FieldClearingStore(store, 'bills')),
   },
   {
     invariant: 'billIsWhole',
@@ -361,20 +363,20 @@
     invariant: 'billBeforeFinalFrame',
     what: 'a page is said to be written before it is',
     story: 'modelRequest',
-    mutate: withStore((store) => new HastyStore(store)),
+    mutate: withStore((store) => new UnwrittenPageStore(store)),
   },
   {
     invariant: 'wholeAnswer',
     what: "another answer's word is in the stream",
     story: 'modelRequest',
-    mutate: withEngines((engine) => new SplicingEngine(engine)),
+    mutate: withEngines((engine) => new TokenReplacingEngine(engine)),
   },
   {
     invariant: 'runsAtMostOnce',
     what: 'the intent of an earlier attempt is not seen',
     story: 'serviceWrite',
     fault: 'crashAfter',
-    mutate: withStore((store) => new NoIntentStore(store)),
+    mutate: withStore((store) => new IntentIgnoringStore(store)),
   },
   {
     invariant: 'notRunIsTrue',
@@ -382,7 +384,11 @@
     story: 'serviceWrite',
     mutate: (parts) => ({
       ...parts,
-      clients: new BrokenClients(parts.clients, same, (service) => new DenyingService(service)),
+      clients: new MutatedClients(
+        parts.clients,
+        unchanged,
+        (service) => new FalselyUnreachableService(service),
+      ),
     }),
   },
   {
@@ -391,8 +397,12 @@
     story: 'engineLeaving',
     mutate: (parts) => ({
       ...parts,
-      list: new RosyList(parts.list),
-      clients: new BrokenClients(parts.clients, (engine) => new RosyEngine(engine), same),
+      list: new AlwaysLiveList(parts.list),
+      clients: new MutatedClients(
+        parts.clients,
+        (engine) => new AlwaysLiveEngine(engine),
+        unchanged,
+      ),
     }),
   },
   {
@@ -400,15 +410,15 @@
     what: 'top-ups in a page are not seen',
     story: 'topUp',
     fault: 'answerLost',
-    mutate: same,
-    operatorStore: (store) => new ForgetfulStore(store, 'topUps'),
+    mutate: unchanged,
+    operatorStore: (store) => new FieldClearingStore(store, 'topUps'),
   },
   {
     invariant: 'versionNeverFalls',
     what: 'an older version comes into force',
     story: 'promotion',
-    mutate: same,
-    tamper: ({ configuration }, clock) => {
+    mutate: unchanged,
+    mutateAfterStart: ({ configuration }, clock) => {
       clock.schedule(5_000, () => {
         configuration.inForce.set({ ...configuration.current(), version: 0 });
       });
@@ -420,7 +430,7 @@
     story: 'promotion',
     mutate: (parts) => ({
       ...parts,
-      store: new StaleStore(parts.store),
+      store: new StaleManifestStore(parts.store),
       links: new NoFleetLinks(),
     }),
   },
@@ -429,15 +439,15 @@
     what: 'an engine acts on an old fencing number',
     story: 'engineOrder',
     fault: 'pause',
-    mutate: same,
-    areNumbersChecked: false,
+    mutate: unchanged,
+    isFencingChecked: false,
   },
   {
     invariant: 'plannedStopCutsNothing',
     what: 'a planned stop does not wait for streams',
     story: 'plannedStop',
-    mutate: same,
-    tamper: (instance) => {
+    mutate: unchanged,
+    mutateAfterStart: (instance) => {
       instance.drain = () => Promise.resolve({ cutOffRequests: 0 });
     },
   },
@@ -447,7 +457,7 @@
     story: 'modelRequest',
     mutate: (parts) => ({
       ...parts,
-      store: new MuteStore(parts.store),
+      store: new UnresponsivePageStore(parts.store),
       clock: new StoppedClock(parts.clock),
     }),
   },
--- a/packages/standins/src/faults/runMatrix/index.ts
+++ b/packages/standins/src/faults/runMatrix/index.ts
@@ -17,7 +17,7 @@
 } from '../types.js';
 import { wrapInstance } from '../wrapInstance/index.js';
 
-/** What one run of a story came to. */
+/** Result of one run of a story. */
 export interface StoryRun {
   readonly steps: readonly Step[];
   readonly violations: readonly Violation[];
@@ -27,47 +27,49 @@
 export interface RunStoryOptions {
   readonly seed: number;
   readonly plan: readonly PlannedFault[];
-  /** A deliberate break of an instance, to see that the checks find it. */
+  /** A mutation that the checks must detect. */
   readonly mutation?: Mutation;
 }
 
-/** How long is waited after a story and its pauses until all that was late has come. */
-const settleMs = 60_000;
+/** Time after a story and its pauses in which delayed effects complete, in milliseconds. */
+const settlingMs = 60_000;
 
 /**
- * Runs one story with the planned faults, then checks every invariant.
+ * Runs one story with the planned faults, then checks all invariants.
  *
- * @param story - what is done
- * @param options - the seed, and which faults at which steps
- * @returns the steps that were made and what was violated
+ * @param story - the story to run
+ * @param options - the seed, the planned faults and a mutation
+ * @returns the counted steps and the violations
  *
  * @example
  * const { violations } = await runStory(story, { seed: 1, plan: [{ step: 3, fault: 'crashAfter' }] });
  */
 export async function runStory(story: Story, options: RunStoryOptions): Promise<StoryRun> {
-  let gate: StepGate | undefined;
-  const gateFor = (clock: ManualClock) => (gate ??= new StepGate(clock, options.plan));
+  let injector: StepGate | undefined;
+  const injectorFor = (clock: ManualClock) => (injector ??= new StepGate(clock, options.plan));
   const fleet = await createLocalFleet({
     document: storyDocument('first'),
     seed: options.seed,
     instances: story.instances ?? 2,
     instanceOptions: { grantPolicy: new FixedGrantPolicy(50) },
-    wrap: (parts, clock) => wrapInstance(gateFor(clock), options.mutation?.mutate(parts) ?? parts),
+    wrap: (parts, clock) =>
+      wrapInstance(injectorFor(clock), options.mutation?.mutate(parts) ?? parts),
   });
-  const context = new StoryContext(fleet, gateFor(fleet.clock), {
-    changeStore: options.mutation?.operatorStore,
-    areNumbersChecked: options.mutation?.areNumbersChecked,
+  const context = new StoryContext(fleet, injectorFor(fleet.clock), {
+    wrapOperatorStore: options.mutation?.operatorStore,
+    isFencingChecked: options.mutation?.isFencingChecked,
   });
-  for (const { instance } of fleet.instances) options.mutation?.tamper?.(instance, fleet.clock);
-  context.gate.arm();
+  for (const { instance } of fleet.instances)
+    options.mutation?.mutateAfterStart?.(instance, fleet.clock);
+  context.gate.startCounting();
   await fleet.clock.runUntil(story.run(context), 3_600_000);
-  await fleet.clock.advance(settleMs + longestPauseMs(fleet, context.gate));
+  await fleet.clock.advance(settlingMs + longestPauseMs(fleet, context.gate));
   const run = { steps: context.gate.steps, violations: checkRecords(context) };
-  await disposeLiving(fleet, context.gate);
+  await disposeRunning(fleet, context.gate);
   return run;
 }
 
-/** One cell of the matrix. */
+/** Combined result of all runs of one story with one kind of fault. */
 export interface MatrixCell {
   readonly story: string;
   readonly fault: string;
@@ -75,7 +77,7 @@
   readonly runs: number;
   readonly violations: number;
   readonly knownRed: boolean;
-  /** Repeats the first failing run of the cell; empty when there is none. */
+  /** Command that reproduces the first failing run of the cell; empty if none failed. */
   readonly command: string;
   readonly firstViolation: string;
 }
@@ -85,17 +87,17 @@
   readonly stories: readonly Story[];
   readonly faults?: readonly FaultKind[];
   readonly seed?: number;
-  /** Takes about so many steps, spread evenly; all of them where it is not given. */
+  /** Approximate number of steps to inject faults at, evenly spaced; by default all. */
   readonly maxSteps?: number;
-  /** How many pairs of faults are drawn for each story. */
+  /** Number of random pairs of faults for each story. */
   readonly pairs?: number;
 }
 
 /**
  * Runs every fault at every step of every story, then pairs of faults.
  *
- * @param options - which stories, faults and how many pairs
- * @returns one cell for each story and fault, and one for each story's pairs
+ * @param options - the stories, the faults and the number of pairs
+ * @returns one cell for each story and fault, and one for the pairs of each story
  *
  * @example
  * const cells = await runMatrix({ stories });
@@ -104,19 +106,19 @@
   const cells: MatrixCell[] = [];
   const seed = options.seed ?? 1;
   for (const story of options.stories) {
-    const calm = await runPlans(story, seed, [[]]);
-    const steps = calm[0]?.run.steps.length ?? 0;
-    cells.push(cellOf(story, 'none', steps, seed, calm));
-    const taken = Array.from({ length: steps }, (_, step) => step).filter(
+    const faultFree = await runPlans(story, seed, [[]]);
+    const steps = faultFree[0]?.run.steps.length ?? 0;
+    cells.push(summarizeRuns(story, 'none', steps, seed, faultFree));
+    const selectedSteps = Array.from({ length: steps }, (_, step) => step).filter(
       (step) => step % Math.ceil(steps / (options.maxSteps ?? steps)) === 0,
     );
     for (const fault of options.faults ?? faultKinds) {
-      const plans = taken.map((step) => [{ step, fault }]);
-      cells.push(cellOf(story, fault, steps, seed, await runPlans(story, seed, plans)));
+      const plans = selectedSteps.map((step) => [{ step, fault }]);
+      cells.push(summarizeRuns(story, fault, steps, seed, await runPlans(story, seed, plans)));
     }
     if ((options.pairs ?? 0) > 0) {
       const plans = samplePairs(steps, options.pairs ?? 0, seed);
-      cells.push(cellOf(story, 'pairs', steps, seed, await runPlans(story, seed, plans)));
+      cells.push(summarizeRuns(story, 'pairs', steps, seed, await runPlans(story, seed, plans)));
     }
   }
   return cells;
@@ -137,7 +139,7 @@
   return runs;
 }
 
-function cellOf(
+function summarizeRuns(
   story: Story,
   fault: string,
   steps: number,
@@ -146,7 +148,7 @@
 ): MatrixCell {
   const failing = runs.find(({ run }) => run.violations.length > 0);
   const first = failing?.run.violations[0];
-  const command = failing === undefined ? '' : commandOf(story, seed, failing.plan);
+  const command = failing === undefined ? '' : formatRunCommand(story, seed, failing.plan);
   return {
     story: story.name,
     fault,
@@ -160,38 +162,46 @@
 }
 
 /**
- * Whether the checks find a deliberate break: without a fault, or with the mutation's fault at some
+ * Whether the checks detect a mutation, either without a fault or with the fault of the mutation at some
  * step.
  *
- * @param story - in which it shows
- * @param mutation - what is broken
- * @param seed - makes every random choice
+ * @param story - the story to run
+ * @param mutation - the mutation to detect
+ * @param seed - seed of all random choices
  *
  * @example
- * await findsMutation(storyNamed(mutation.story), mutation);
+ * await detectsMutation(storyNamed(mutation.story), mutation);
  * //=> true
  */
-export async function findsMutation(story: Story, mutation: Mutation, seed = 1): Promise<boolean> {
-  const isFound = (run: StoryRun) =>
+export async function detectsMutation(
+  story: Story,
+  mutation: Mutation,
+  seed = 1,
+): Promise<boolean> {
+  const isDetected = (run: StoryRun) =>
     run.violations.some(({ invariant }) => invariant === mutation.invariant);
-  const calm = await runStory(story, { seed, plan: [], mutation });
-  if (isFound(calm)) return true;
+  const faultFree = await runStory(story, { seed, plan: [], mutation });
+  if (isDetected(faultFree)) return true;
   const { fault } = mutation;
   if (fault === undefined) return false;
-  for (let step = 0; step < calm.steps.length; step += 1) {
-    if (isFound(await runStory(story, { seed, plan: [{ step, fault }], mutation }))) return true;
+  for (let step = 0; step < faultFree.steps.length; step += 1) {
+    if (isDetected(await runStory(story, { seed, plan: [{ step, fault }], mutation }))) return true;
   }
   return false;
 }
 
 /**
- * The command that repeats one run.
+ * Formats the command that reproduces one run.
  *
  * @example
- * commandOf(story, 1, [{ step: 3, fault: 'pause' }]);
+ * formatRunCommand(story, 1, [{ step: 3, fault: 'pause' }]);
  * //=> 'npm run faults -- --story modelRequest --seed 1 --plan 3:pause'
  */
-export function commandOf(story: Story, seed: number, plan: readonly PlannedFault[]): string {
+export function formatRunCommand(
+  story: Story,
+  seed: number,
+  plan: readonly PlannedFault[],
+): string {
   const planned = plan.map(({ step, fault }) => `${step}:${fault}`).join(',');
   return `npm run faults -- --story ${story.name} --seed ${seed} --plan ${planned || 'none'}`;
 }
@@ -205,14 +215,14 @@
   return Array.from({ length: count }, () => [draw(), draw()]);
 }
 
-function longestPauseMs(fleet: LocalFleet, gate: StepGate): number {
+function longestPauseMs(fleet: LocalFleet, injector: StepGate): number {
   const nowMs = fleet.clock.monotonicMs();
-  return Math.max(0, ...fleet.instances.map((local) => gate.pausedUntilMs(local.id) - nowMs));
+  return Math.max(0, ...fleet.instances.map((local) => injector.pausedUntilMs(local.id) - nowMs));
 }
 
-/** A dead instance never answers, so there is nothing of it to wait for. */
-async function disposeLiving(fleet: LocalFleet, gate: StepGate): Promise<void> {
-  const living = fleet.instances.filter((local) => !gate.isDead(local.id));
-  const disposals = living.map((local) => local.instance[Symbol.asyncDispose]());
+/** Skips crashed instances, whose disposal would never complete. */
+async function disposeRunning(fleet: LocalFleet, injector: StepGate): Promise<void> {
+  const running = fleet.instances.filter((local) => !injector.isDead(local.id));
+  const disposals = running.map((local) => local.instance[Symbol.asyncDispose]());
   await fleet.clock.runUntil(Promise.all(disposals));
 }
--- a/packages/standins/src/faults/stories/engineOrder/index.ts
+++ b/packages/standins/src/faults/stories/engineOrder/index.ts
@@ -8,18 +8,18 @@
 import { LocalEngineClient } from '../../../LocalUpstreamClients/index.js';
 import { StandinEngine } from '../../../StandinEngine/index.js';
 import type { StoryContext } from '../../StoryContext/index.js';
-import { GatedClock, GatedEngine } from '../../wrapInstance/index.js';
+import { FaultInjectingClock, FaultInjectingEngine } from '../../wrapInstance/index.js';
 
-/** How long both keepers run, in milliseconds; longer than any pause and a lease after it. */
+/** How long both reconcilers run, in milliseconds; longer than a process pause plus a lease. */
 const runMs = 300_000;
 
 /**
- * Two instances keep one engine under a lease, each wanting another version of the model.
+ * Two order reconcilers, of which only the holder of a lease acts, target different model versions on one engine.
  *
- * The one that holds the lease may lose it to the other at any step. The engine checks fencing
- * numbers, so it must never act on a lower one than before.
+ * The holder may lose the lease to the other reconciler at any step. The engine checks fencing numbers,
+ * so it must never execute an order with a lower number than before.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await engineOrder(context);
@@ -28,23 +28,23 @@
   const engine = new StandinEngine({
     id: 'ordered' as UpstreamId,
     clock: context.fleet.clock,
-    checksFencing: context.areNumbersChecked,
+    checksFencing: context.isFencingChecked,
   });
-  const keepers = [createKeeper(context, engine, 'keeper-a', '1')];
+  const reconcilers = [createReconciler(context, engine, 'reconciler-a', '1')];
   await context.fleet.clock.sleep(1_000);
-  keepers.push(createKeeper(context, engine, 'keeper-b', '2'));
+  reconcilers.push(createReconciler(context, engine, 'reconciler-b', '2'));
   await context.fleet.clock.sleep(runMs);
-  checkNumbers(context, engine);
-  for (const keeper of keepers) void keeper[Symbol.asyncDispose]();
+  checkFencingNumbers(context, engine);
+  for (const reconciler of reconcilers) void reconciler[Symbol.asyncDispose]();
 }
 
-function createKeeper(
+function createReconciler(
   context: StoryContext,
   engine: StandinEngine,
   name: string,
   version: string,
 ): OrderReconciler {
-  const clock = new GatedClock(context.gate, name, context.fleet.clock);
+  const clock = new FaultInjectingClock(context.gate, name, context.fleet.clock);
   const lease = new StoreLease({
     store: context.operatorStore(name),
     clock,
@@ -52,26 +52,28 @@
     holder: name as InstanceId,
     incarnation: '1',
   });
-  const client = new GatedEngine(context.gate, name, new LocalEngineClient(engine));
+  const client = new FaultInjectingEngine(context.gate, name, new LocalEngineClient(engine));
   const target = { models: [{ model: 'small', version }], adapters: [], role: 'both' as const };
-  const keeper = createOrderReconciler(true, {
+  const reconciler = createOrderReconciler(true, {
     clock,
     metrics: new Metrics(),
     lease,
     rate: new WeightLoadRateLimiter({ clock, loadsPerMinute: 600 }),
     engines: () => [{ id: engine.id, engine: client, target }],
   });
-  keeper.start();
-  return keeper;
+  reconciler.start();
+  return reconciler;
 }
 
-/** The engine acted at least once, and on numbers that never fell. */
-function checkNumbers(context: StoryContext, engine: StandinEngine): void {
-  const numbers = engine.control.acted.map(({ fencingNumber }) => fencingNumber);
-  const falls = numbers.some((number, index) => number < (numbers[index - 1] ?? 0));
-  if (numbers.length > 0 && !falls) return;
+/** Checks that the engine executed at least one order and that fencing numbers never decreased. */
+function checkFencingNumbers(context: StoryContext, engine: StandinEngine): void {
+  const fencingNumbers = engine.control.acted.map(({ fencingNumber }) => fencingNumber);
+  const hasDecreased = fencingNumbers.some(
+    (number, index) => number < (fencingNumbers[index - 1] ?? 0),
+  );
+  if (fencingNumbers.length > 0 && !hasDecreased) return;
   context.violations.push({
     invariant: 'ordersNeverGoBack',
-    what: numbers.join(', ') || 'no order',
+    what: fencingNumbers.join(', ') || 'no order',
   });
 }
--- a/packages/standins/src/faults/stories/index.ts
+++ b/packages/standins/src/faults/stories/index.ts
@@ -1,6 +1,6 @@
 /**
- * Small stories of what users do. Each runs once without a fault to count its steps, then once for
- * every fault at every step.
+ * Stories: short scripted user scenarios. Each runs once without faults to count its steps, then once
+ * with every fault at every step.
  */
 import type { StoryContext } from '../StoryContext/index.js';
 import { modelRequest } from './modelRequest/index.js';
@@ -14,12 +14,12 @@
 import { engineOrder } from './engineOrder/index.js';
 import { engineLeaving } from './engineLeaving/index.js';
 
-/** One story. */
+/** One scripted user scenario. */
 export interface Story {
   readonly name: string;
-  /** How many instances there are, 2 where it does not say. */
+  /** Number of instances; 2 by default. */
   readonly instances?: number;
-  /** Acts; must end by itself under every fault. */
+  /** Performs the actions; must terminate under every fault. */
   readonly run: (context: StoryContext) => Promise<void>;
 }
 
@@ -38,18 +38,18 @@
 ];
 
 /**
- * A story by its name.
+ * Returns a story by its name.
  *
- * @throws Error when there is none of that name
+ * @throws Error if there is no story of that name
  *
  * @example
  * storyNamed('topUp').name;
  * //=> 'topUp'
  */
 export function storyNamed(name: string): Story {
-  const story = stories.find((known) => known.name === name);
+  const story = stories.find((candidate) => candidate.name === name);
   if (story !== undefined) return story;
   throw new Error(
-    `there is no story ${name}; there are ${stories.map((known) => known.name).join(', ')}`,
+    `unknown story ${name}; known stories: ${stories.map((candidate) => candidate.name).join(', ')}`,
   );
 }
--- a/packages/standins/src/faults/stories/modelRequest/index.ts
+++ b/packages/standins/src/faults/stories/modelRequest/index.ts
@@ -1,13 +1,13 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * A trainee asks, and asks again elsewhere until there is an answer.
+ * A caller sends a chat request and retries at other instances until there is a response.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await modelRequest(context);
  */
 export async function modelRequest(context: StoryContext): Promise<void> {
-  await context.untilAnswered((index) => context.chat(index, 'prompt-1'));
+  await context.retryUntilAnswered((index) => context.chat(index, 'prompt-1'));
 }
--- a/packages/standins/src/faults/stories/nearlyEmptyBudget/index.ts
+++ b/packages/standins/src/faults/stories/nearlyEmptyBudget/index.ts
@@ -1,14 +1,14 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
-/** After these the budget is used up. */
+/** Number of waves after the first; then the budget is used up. */
 const laterWaves = 2;
 
 /**
- * Two callers draw on a nearly empty budget at two instances at once, wave after wave, until little
- * is left, then once more. The waves matter: what is held for a request is mostly more than it uses,
- * so tokens that were given out twice show only when they are used up.
+ * Callers use a nearly empty budget at two instances concurrently, in several waves until little is left,
+ * then once more. Several waves are needed: a request usually reserves more tokens than it uses, so
+ * tokens that were granted twice become visible only once they are used up.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await nearlyEmptyBudget(context);
@@ -19,8 +19,8 @@
     ...[0, 1].map((number) => context.service(number, `issue-${number}`, 'POST')),
   ]);
   for (let wave = 1; wave <= laterWaves; wave += 1) {
-    const names = [0, 1].map((index) => `prompt-${wave}-${index}`);
-    await Promise.all(names.map((name, index) => context.chat(index, name)));
+    const keys = [0, 1].map((index) => `prompt-${wave}-${index}`);
+    await Promise.all(keys.map((key, index) => context.chat(index, key)));
   }
-  await context.untilAnswered((index) => context.chat(index, 'prompt-last'));
+  await context.retryUntilAnswered((index) => context.chat(index, 'prompt-last'));
 }
--- a/packages/standins/src/faults/stories/plannedStop/index.ts
+++ b/packages/standins/src/faults/stories/plannedStop/index.ts
@@ -1,27 +1,27 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * An instance is stopped as planned while it streams an answer.
+ * An instance is drained for a planned stop while it streams a response.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await plannedStop(context);
  */
 export async function plannedStop(context: StoryContext): Promise<void> {
   const { instance } = context.instance(0);
-  const open = instance.beginRequest();
+  const openRequest = instance.beginRequest();
   const attempt = context.chat(0, 'prompt-1').finally(() => {
-    open[Symbol.dispose]();
+    openRequest[Symbol.dispose]();
   });
   await context.fleet.clock.sleep(30);
   const crashed = context.gate.whenDead('i1');
   await Promise.race([instance.drain(300_000), crashed]);
   const isOpen = !context.gate.isDead('i1') && instance.openRequests > 0;
   const outcome = await attempt;
-  // A process frozen past the class's deadline ends its streams by that deadline, not by the stop.
-  const isFrozenOut = context.gate.hasPaused && outcome.error?.kind === 'deadlineExceeded';
-  const isCut = outcome.text !== '' && outcome.final === undefined && !isFrozenOut;
+  // After a pause beyond the deadline of the class, streams end because of the deadline, not the stop.
+  const isEndedByDeadline = context.gate.hasPaused && outcome.error?.kind === 'deadlineExceeded';
+  const isCut = outcome.text !== '' && outcome.final === undefined && !isEndedByDeadline;
   if (isOpen || (isCut && !context.gate.isDead('i1'))) {
     context.violations.push({ invariant: 'plannedStopCutsNothing', what: outcome.key });
   }
--- a/packages/standins/src/faults/stories/promotion/index.ts
+++ b/packages/standins/src/faults/stories/promotion/index.ts
@@ -3,9 +3,9 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * Two operators promote at the same moment, each from the version that both last saw.
+ * Two operators promote a document at the same time, both based on the same version.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await promotion(context);
--- a/packages/standins/src/faults/stories/retryElsewhere/index.ts
+++ b/packages/standins/src/faults/stories/retryElsewhere/index.ts
@@ -1,14 +1,14 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * A caller hangs up in the middle and comes back at another instance with the same key.
+ * A caller hangs up in mid-stream and retries at another instance with the same idempotency key.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await retryElsewhere(context);
  */
 export async function retryElsewhere(context: StoryContext): Promise<void> {
   await context.chat(0, 'prompt-1', { hangUpAfterTokens: 2 });
-  await context.untilAnswered((index) => context.chat((index + 1) % 2, 'prompt-1'));
+  await context.retryUntilAnswered((index) => context.chat((index + 1) % 2, 'prompt-1'));
 }
--- a/packages/standins/src/faults/stories/serviceRead/index.ts
+++ b/packages/standins/src/faults/stories/serviceRead/index.ts
@@ -1,13 +1,13 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * An availability check; it may be repeated.
+ * A caller reads from a plain service; reads may be executed repeatedly.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await serviceRead(context);
  */
 export async function serviceRead(context: StoryContext): Promise<void> {
-  await context.untilAnswered((index) => context.service(index, 'read-1', 'GET'));
+  await context.retryUntilAnswered((index) => context.service(index, 'read-1', 'GET'));
 }
--- a/packages/standins/src/faults/stories/serviceWrite/index.ts
+++ b/packages/standins/src/faults/stories/serviceWrite/index.ts
@@ -1,13 +1,13 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * A certificate is issued; its caller retries elsewhere with the same key.
+ * A caller writes to a plain service and retries at other instances with the same idempotency key.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await serviceWrite(context);
  */
 export async function serviceWrite(context: StoryContext): Promise<void> {
-  await context.untilAnswered((index) => context.service(index, 'issue-1', 'POST'));
+  await context.retryUntilAnswered((index) => context.service(index, 'issue-1', 'POST'));
 }
--- a/packages/standins/src/faults/stories/topUp/index.ts
+++ b/packages/standins/src/faults/stories/topUp/index.ts
@@ -3,9 +3,9 @@
 import type { StoryContext } from '../../StoryContext/index.js';
 
 /**
- * An operator tops up, and does it again under the same id until told that it holds.
+ * An operator tops up a budget and repeats the top-up with the same id until it is confirmed.
  *
- * @param context - who acts, and what is left to be checked
+ * @param context - the fleet and the callers of the story
  *
  * @example
  * await topUp(context);
@@ -14,13 +14,13 @@
   context.topUps.set('invoice-1', 100);
   const spending = context.chat(0, 'prompt-1');
   const crashed = context.gate.whenDead('operator').then(() => false);
-  const isToppedUp = await Promise.race([topUpUntilTold(context, 'operator'), crashed]);
-  // The operator's machine died; on another one the same top-up is run again.
-  if (!isToppedUp) await topUpUntilTold(context, 'operator-again');
+  const isToppedUp = await Promise.race([topUpUntilConfirmed(context, 'operator'), crashed]);
+  // After a crash of the operator's machine, the same top-up is repeated from another machine.
+  if (!isToppedUp) await topUpUntilConfirmed(context, 'operator-again');
   await spending;
 }
 
-async function topUpUntilTold(context: StoryContext, operator: string): Promise<boolean> {
+async function topUpUntilConfirmed(context: StoryContext, operator: string): Promise<boolean> {
   const store = context.operatorStore(operator);
   const { clock } = context.fleet;
   for (;;) {
--- a/packages/standins/src/faults/types.ts
+++ b/packages/standins/src/faults/types.ts
@@ -1,16 +1,16 @@
 /**
- * The words of the fault matrix.
+ * Types of the fault matrix: steps, faults and invariants.
  */
 
-/** A call through an interface to the outside, in the order in which calls were made. */
+/** An external call of an actor; steps are numbered in the order of the calls. */
 export interface Step {
-  /** Who called: an instance or an operator. */
+  /** The caller: an instance or an operator. */
   readonly actor: string;
-  /** Which call, for example `store.write`. */
+  /** The called operation, for example `store.write`. */
   readonly call: string;
 }
 
-/** What can go wrong at a step. */
+/** Kinds of faults that can be injected at a step. */
 export const faultKinds = [
   'crashBefore',
   'crashAfter',
@@ -22,23 +22,23 @@
   'partition',
 ] as const;
 
-/** One of the kinds of fault. */
+/** One kind of fault. */
 export type FaultKind = (typeof faultKinds)[number];
 
 /** One fault at one step. */
 export interface PlannedFault {
-  /** Counts from 0. */
+  /** Index of the step, from 0. */
   readonly step: number;
   readonly fault: FaultKind;
 }
 
-/** Something that must never be so, and was. */
+/** A violated invariant. */
 export interface Violation {
   readonly invariant: InvariantName;
   readonly what: string;
 }
 
-/** What is checked after each run. */
+/** The invariants that are checked after each run. */
 export const invariantNames = [
   'overspend',
   'oneBillPerKey',
--- a/packages/standins/src/faults/wrapInstance/index.ts
+++ b/packages/standins/src/faults/wrapInstance/index.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the step gate between an instance and everything outside it.
+ * Injects faults between an instance and its environment.
  */
 import { Clock, RouterError, type InstanceId, type RequestId } from '@acaciacrank/base';
 import { FleetLinks, NoFleetLinks, type FleetMessage, type FleetPeer } from '@acaciacrank/fleet';
@@ -29,39 +29,43 @@
   type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
-import type { GatedCall, StepGate } from '../StepGate/index.js';
+import type { InterceptedCall, StepGate } from '../StepGate/index.js';
 
 /**
- * Wraps everything that an instance is made of.
+ * Wraps the clock, store, instance list, upstream clients and links of an instance.
  *
- * @param gate - where the calls pass
- * @param options - the instance's parts
- * @returns the same parts behind the gate
+ * @param injector - the fault injector that all calls pass through
+ * @param options - the options of the instance
+ * @returns the options with wrapped dependencies
  *
  * @example
- * const instance = new Instance(wrapInstance(gate, options));
+ * const instance = new Instance(wrapInstance(injector, options));
  */
-export function wrapInstance(gate: StepGate, options: InstanceOptions): InstanceOptions {
+export function wrapInstance(injector: StepGate, options: InstanceOptions): InstanceOptions {
   const actor: string = options.instanceId;
   return {
     ...options,
-    clock: new GatedClock(gate, actor, options.clock),
-    store: new GatedStore(gate, actor, options.store),
-    list: new GatedList(gate, actor, options.list),
-    clients: new GatedClients(gate, actor, options.clients),
-    links: new GatedLinks(gate, options.instanceId, options.links ?? new NoFleetLinks()),
+    clock: new FaultInjectingClock(injector, actor, options.clock),
+    store: new FaultInjectingStore(injector, actor, options.store),
+    list: new FaultInjectingList(injector, actor, options.list),
+    clients: new FaultInjectingClients(injector, actor, options.clients),
+    links: new FaultInjectingLinks(
+      injector,
+      options.instanceId,
+      options.links ?? new NoFleetLinks(),
+    ),
   };
 }
 
-/** A clock whose timers stop when the process is frozen or gone; its readings go on. */
-export class GatedClock extends Clock {
-  readonly #gate: StepGate;
+/** Clock whose timers are suspended while the process is paused and never fire after a crash; time continues. */
+export class FaultInjectingClock extends Clock {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #clock: Clock;
 
-  constructor(gate: StepGate, actor: string, clock: Clock) {
+  constructor(injector: StepGate, actor: string, clock: Clock) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#clock = clock;
   }
@@ -76,9 +80,9 @@
 
   override schedule(delayMs: number, task: () => void): Disposable {
     let timer = this.#clock.schedule(delayMs, () => {
-      if (this.#gate.isDead(this.#actor)) return;
-      const frozenMs = this.#gate.pausedUntilMs(this.#actor) - this.monotonicMs();
-      if (frozenMs > 0) timer = this.schedule(frozenMs, task);
+      if (this.#injector.isDead(this.#actor)) return;
+      const pausedMs = this.#injector.pausedUntilMs(this.#actor) - this.monotonicMs();
+      if (pausedMs > 0) timer = this.schedule(pausedMs, task);
       else task();
     });
     return {
@@ -89,15 +93,15 @@
   }
 }
 
-/** Links that carry nothing while the instance is gone, frozen or cut off. */
-class GatedLinks extends FleetLinks {
-  readonly #gate: StepGate;
+/** Links that drop all messages while the instance is crashed, paused or cut off. */
+class FaultInjectingLinks extends FleetLinks {
+  readonly #injector: StepGate;
   readonly #actor: InstanceId;
   readonly #links: FleetLinks;
 
-  constructor(gate: StepGate, actor: InstanceId, links: FleetLinks) {
+  constructor(injector: StepGate, actor: InstanceId, links: FleetLinks) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#links = links;
     links.subscribe((message, from) => {
@@ -114,37 +118,37 @@
   }
 
   #isOpen(peer: InstanceId): boolean {
-    return this.#gate.isAwake(this.#actor) && !this.#gate.isCutOff(peer);
+    return this.#injector.isAwake(this.#actor) && !this.#injector.isCutOff(peer);
   }
 }
 
-/** An object store behind the gate; also used for operators. */
-export class GatedStore extends ObjectStore {
-  readonly #gate: StepGate;
+/** Object store whose calls pass through the fault injector; also used for operators. */
+export class FaultInjectingStore extends ObjectStore {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #store: ObjectStore;
 
-  constructor(gate: StepGate, actor: string, store: ObjectStore) {
+  constructor(injector: StepGate, actor: string, store: ObjectStore) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#store = store;
   }
 
   override read(key: string): Promise<StoredObject | undefined> {
-    return this.#pass('store.read', () => this.#store.read(key));
+    return this.#intercept('store.read', () => this.#store.read(key));
   }
 
   override write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult> {
-    return this.#pass('store.write', () => this.#store.write(key, value, condition));
+    return this.#intercept('store.write', () => this.#store.write(key, value, condition));
   }
 
   override remove(key: string, version: number): Promise<WriteResult> {
-    return this.#pass('store.remove', () => this.#store.remove(key, version));
+    return this.#intercept('store.remove', () => this.#store.remove(key, version));
   }
 
   override snapshot(prefix: string): Promise<StoreSnapshot> {
-    return this.#pass('store.snapshot', () => this.#store.snapshot(prefix));
+    return this.#intercept('store.snapshot', () => this.#store.snapshot(prefix));
   }
 
   override watch(
@@ -152,88 +156,97 @@
     sinceRevision: number,
     signal: AbortSignal,
   ): Promise<StoreChanges> {
-    return this.#pass(
+    return this.#intercept(
       'store.watch',
       () => this.#store.watch(prefix, sinceRevision, signal),
       signal,
     );
   }
 
-  #pass<Value>(call: string, effect: () => Promise<Value>, signal?: AbortSignal): Promise<Value> {
-    return this.#gate.call({
+  #intercept<Value>(
+    call: string,
+    effect: () => Promise<Value>,
+    signal?: AbortSignal,
+  ): Promise<Value> {
+    return this.#injector.call({
       actor: this.#actor,
       call,
       isPlatform: true,
       isBackground: call === 'store.watch',
       effect,
-      lostAnswer: () => new RouterError('storeUnavailable', 'the platform did not answer'),
+      lostResponseError: () => new RouterError('storeUnavailable', 'the platform did not answer'),
       ...(signal === undefined ? {} : { signal }),
     });
   }
 }
 
-class GatedList extends InstanceList {
-  readonly #gate: StepGate;
+class FaultInjectingList extends InstanceList {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #list: InstanceList;
 
-  constructor(gate: StepGate, actor: string, list: InstanceList) {
+  constructor(injector: StepGate, actor: string, list: InstanceList) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#list = list;
   }
 
   override read(): Promise<readonly ListedInstance[]> {
-    return this.#gate.call({
+    return this.#injector.call({
       actor: this.#actor,
       call: 'list.read',
       isPlatform: true,
       isBackground: true,
       effect: () => this.#list.read(),
-      lostAnswer: () => new RouterError('storeUnavailable', 'the platform did not answer'),
+      lostResponseError: () => new RouterError('storeUnavailable', 'the platform did not answer'),
     });
   }
 }
 
-class GatedClients extends UpstreamClients {
-  readonly #gate: StepGate;
+class FaultInjectingClients extends UpstreamClients {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #clients: UpstreamClients;
 
-  constructor(gate: StepGate, actor: string, clients: UpstreamClients) {
+  constructor(injector: StepGate, actor: string, clients: UpstreamClients) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#clients = clients;
   }
 
   override engine(entry: ListedInstance): EngineClient {
-    return new GatedEngine(this.#gate, this.#actor, this.#clients.engine(entry));
+    return new FaultInjectingEngine(this.#injector, this.#actor, this.#clients.engine(entry));
   }
 
   override service(entry: ListedInstance): ServiceClient {
-    return new GatedService(this.#gate, this.#actor, this.#clients.service(entry));
+    return new FaultInjectingService(this.#injector, this.#actor, this.#clients.service(entry));
   }
 }
 
-const brokenStream = () => new RouterError('upstreamFailed', 'the connection to the engine broke');
+const engineConnectionError = () =>
+  new RouterError('upstreamFailed', 'the connection to the engine broke');
 
-/** An engine client behind the gate. */
-export class GatedEngine extends EngineClient {
-  readonly #gate: StepGate;
+/** Engine client whose calls pass through the fault injector. */
+export class FaultInjectingEngine extends EngineClient {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #engine: EngineClient;
 
-  constructor(gate: StepGate, actor: string, engine: EngineClient) {
+  constructor(injector: StepGate, actor: string, engine: EngineClient) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#engine = engine;
   }
 
   override generate(request: GenerateRequest, signal: AbortSignal): AsyncIterable<EngineFrame> {
-    return this.#gated('engine.generate', () => this.#engine.generate(request, signal), signal);
+    return this.#interceptFrames(
+      'engine.generate',
+      () => this.#engine.generate(request, signal),
+      signal,
+    );
   }
 
   override resume(
@@ -241,7 +254,7 @@
     offset: number,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
-    return this.#gated(
+    return this.#interceptFrames(
       'engine.resume',
       () => this.#engine.resume(requestId, offset, signal),
       signal,
@@ -273,16 +286,16 @@
     return this.#call('engine.readState', () => this.#engine.readState());
   }
 
-  /** Each frame is a step of its own: a stream can break at any of them. */
-  async *#gated(
+  /** Each frame counts as a step, because a stream can break at any frame. */
+  async *#interceptFrames(
     call: string,
     open: () => AsyncIterable<EngineFrame>,
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const frames = open()[Symbol.asyncIterator]();
-    const openedIn = this.#gate.silenceEpoch(this.#actor, call);
+    const openedInEpoch = this.#injector.silenceEpoch(this.#actor, call);
     for (let step = call; ; step = 'engine.frame') {
-      const next = await this.#call(step, () => frames.next(), { signal, openedIn });
+      const next = await this.#call(step, () => frames.next(), { signal, openedInEpoch });
       if (next.done === true) return;
       yield next.value;
     }
@@ -291,50 +304,51 @@
   #call<Value>(
     call: string,
     effect: () => Promise<Value>,
-    more: Partial<GatedCall<Value>> = {},
+    overrides: Partial<InterceptedCall<Value>> = {},
   ): Promise<Value> {
-    return this.#gate.call({
+    return this.#injector.call({
       actor: this.#actor,
       call,
       isPlatform: false,
       effect,
-      lostAnswer: brokenStream,
-      ...more,
+      lostResponseError: engineConnectionError,
+      ...overrides,
     });
   }
 }
 
-class GatedService extends ServiceClient {
-  readonly #gate: StepGate;
+class FaultInjectingService extends ServiceClient {
+  readonly #injector: StepGate;
   readonly #actor: string;
   readonly #service: ServiceClient;
 
-  constructor(gate: StepGate, actor: string, service: ServiceClient) {
+  constructor(injector: StepGate, actor: string, service: ServiceClient) {
     super();
-    this.#gate = gate;
+    this.#injector = injector;
     this.#actor = actor;
     this.#service = service;
   }
 
   override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
-    return this.#gate.call({
+    return this.#injector.call({
       actor: this.#actor,
       call: 'service.call',
       isPlatform: false,
       effect: () => this.#service.call(request, signal),
-      lostAnswer: () => new RouterError('outcomeUnknown', 'the connection to the service broke'),
+      lostResponseError: () =>
+        new RouterError('outcomeUnknown', 'the connection to the service broke'),
       signal,
     });
   }
 
   override readLoad(): Promise<LoadReport> {
-    return this.#gate.call({
+    return this.#injector.call({
       actor: this.#actor,
       call: 'service.readLoad',
       isPlatform: false,
       isBackground: true,
       effect: () => this.#service.readLoad(),
-      lostAnswer: brokenStream,
+      lostResponseError: engineConnectionError,
     });
   }
 }
