--- a/packages/standins/src/_lib/FaultyUpstreams/index.ts
+++ b/packages/standins/src/_lib/FaultyUpstreams/index.ts
@@ -1,5 +1,5 @@
 /**
- * Faults on the connections between an instance and its upstreams.
+ * Fault injection on the connections between an instance and its upstreams.
  */
 import { RouterError, type RequestId } from '@acaciacrank/base';
 import type { ListedInstance } from '@acaciacrank/store';
@@ -16,13 +16,13 @@
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
 
-/** What happens to one connection. */
+/** The fault of one connection to an engine. */
 export type ConnectionFault =
-  /** No connection comes about. */
+  /** The connection is refused. */
   | { readonly kind: 'refused' }
-  /** It breaks after so many tokens. */
+  /** The connection breaks after `afterTokens` tokens. */
   | { readonly kind: 'dies'; readonly afterTokens: number }
-  /** It stays open and says nothing more after so many tokens. */
+  /** The connection stays open but sends nothing after `afterTokens` tokens. */
   | { readonly kind: 'silent'; readonly afterTokens: number };
 
 /** One connection that an instance opened to an engine. */
@@ -33,13 +33,13 @@
   readonly offset: number;
 }
 
-/** Says what happens to each connection, by its place in the order of all of them. */
+/** Chooses the fault of a connection; `index` counts all connections, from 0. */
 export type FaultPlan = (connection: Connection, index: number) => ConnectionFault | undefined;
 
-/** What happens to one call to a plain service; the last two let it run. */
+/** The fault of one call to a plain service; with the last two, the service still runs the call. */
 export type ServiceFault = 'refused' | 'busy' | 'answerLost' | 'silent';
 
-/** Says what happens to each call, by its place in the order of all of them. */
+/** Chooses the fault of a call; `index` counts all calls to services, from 0. */
 export type ServiceFaultPlan = (call: ServiceRequest, index: number) => ServiceFault | undefined;
 
 /** Upstream clients whose connections fail as planned. */
@@ -47,39 +47,39 @@
   /** Every connection that was opened, in order. */
   readonly connections: Connection[] = [];
   readonly cancelled: RequestId[] = [];
-  readonly #inner: UpstreamClients;
+  readonly #wrapped: UpstreamClients;
   readonly #plan: FaultPlan;
   readonly #servicePlan: ServiceFaultPlan;
-  /** Replaces what engines' gaps are judged by, for comparisons. */
+  /** Replaces the adaptive time-out for gaps between tokens, to compare alternatives. */
   makeTokenGaps: (() => AdaptiveTimeout) | undefined;
-  /** Whether engines say what they did for a cancelled generation. */
-  saysUsage = true;
-  /** Whether engines generate on beyond what they were asked for. */
-  ignoresMaxTokens = false;
-  /** Calls to plain services so far. */
+  /** Whether engines report the usage of a cancelled generation. */
+  isReportingUsage = true;
+  /** Whether engines generate more tokens than requested. */
+  isIgnoringMaxTokens = false;
+  /** Number of calls to plain services. */
   serviceCalls = 0;
 
   constructor(
-    inner: UpstreamClients,
+    wrapped: UpstreamClients,
     plan: FaultPlan,
     servicePlan: ServiceFaultPlan = () => undefined,
   ) {
     super();
-    this.#inner = inner;
+    this.#wrapped = wrapped;
     this.#plan = plan;
     this.#servicePlan = servicePlan;
   }
 
   override engine(entry: ListedInstance): EngineClient {
-    return new FaultyEngineClient(this, entry.id, this.#inner.engine(entry));
+    return new FaultyEngineClient(this, entry.id, this.#wrapped.engine(entry));
   }
 
   override service(entry: ListedInstance): ServiceClient {
-    return new FaultyServiceClient(this, this.#inner.service(entry));
+    return new FaultyServiceClient(this, this.#wrapped.service(entry));
   }
 
-  /** Applies the plan to one call. */
-  async call(
+  /** Applies the fault plan to one call to a service. */
+  async applyToCall(
     request: ServiceRequest,
     run: () => Promise<ServiceResponse>,
   ): Promise<ServiceResponse> {
@@ -95,8 +95,8 @@
     return answer;
   }
 
-  /** Applies the plan to one connection. */
-  async *open(connection: Connection, frames: () => AsyncIterable<EngineFrame>) {
+  /** Applies the fault plan to one connection to an engine. */
+  async *applyToConnection(connection: Connection, frames: () => AsyncIterable<EngineFrame>) {
     this.connections.push(connection);
     const fault = this.#plan(connection, this.connections.length - 1);
     if (fault?.kind === 'refused') {
@@ -116,16 +116,16 @@
 
 class FaultyEngineClient extends EngineClient {
   override readonly tokenGaps: AdaptiveTimeout;
-  readonly #faults: FaultyUpstreams;
+  readonly #parent: FaultyUpstreams;
   readonly #engineId: string;
-  readonly #inner: EngineClient;
+  readonly #wrapped: EngineClient;
 
-  constructor(faults: FaultyUpstreams, engineId: string, inner: EngineClient) {
+  constructor(parent: FaultyUpstreams, engineId: string, wrapped: EngineClient) {
     super();
-    this.#faults = faults;
+    this.#parent = parent;
     this.#engineId = engineId;
-    this.#inner = inner;
-    this.tokenGaps = faults.makeTokenGaps?.() ?? inner.tokenGaps;
+    this.#wrapped = wrapped;
+    this.tokenGaps = parent.makeTokenGaps?.() ?? wrapped.tokenGaps;
   }
 
   override generate(request: GenerateRequest, signal: AbortSignal): AsyncIterable<EngineFrame> {
@@ -136,9 +136,11 @@
       requestId,
       offset: 0,
     } as const;
-    const maxTokens = this.#faults.ignoresMaxTokens ? 1_000 : request.maxTokens;
-    const sent = { ...request, maxTokens };
-    return this.#faults.open(connection, () => this.#inner.generate(sent, signal));
+    const maxTokens = this.#parent.isIgnoringMaxTokens ? 1_000 : request.maxTokens;
+    const forwarded = { ...request, maxTokens };
+    return this.#parent.applyToConnection(connection, () =>
+      this.#wrapped.generate(forwarded, signal),
+    );
   }
 
   override resume(
@@ -147,38 +149,42 @@
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     const connection = { engineId: this.#engineId, kind: 'resume', requestId, offset } as const;
-    return this.#faults.open(connection, () => this.#inner.resume(requestId, offset, signal));
+    return this.#parent.applyToConnection(connection, () =>
+      this.#wrapped.resume(requestId, offset, signal),
+    );
   }
 
   override cancel(requestId: RequestId): Promise<void> {
-    this.#faults.cancelled.push(requestId);
-    return this.#inner.cancel(requestId);
+    this.#parent.cancelled.push(requestId);
+    return this.#wrapped.cancel(requestId);
   }
 
   override readUsage(requestId: RequestId): Promise<EngineUsage | undefined> {
-    return this.#faults.saysUsage ? this.#inner.readUsage(requestId) : Promise.resolve(undefined);
+    return this.#parent.isReportingUsage
+      ? this.#wrapped.readUsage(requestId)
+      : Promise.resolve(undefined);
   }
 
   override readLoad(): Promise<LoadReport> {
-    return this.#inner.readLoad();
+    return this.#wrapped.readLoad();
   }
 }
 
 class FaultyServiceClient extends ServiceClient {
-  readonly #faults: FaultyUpstreams;
-  readonly #inner: ServiceClient;
+  readonly #parent: FaultyUpstreams;
+  readonly #wrapped: ServiceClient;
 
-  constructor(faults: FaultyUpstreams, inner: ServiceClient) {
+  constructor(parent: FaultyUpstreams, wrapped: ServiceClient) {
     super();
-    this.#faults = faults;
-    this.#inner = inner;
+    this.#parent = parent;
+    this.#wrapped = wrapped;
   }
 
   override call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceResponse> {
-    return this.#faults.call(request, () => this.#inner.call(request, signal));
+    return this.#parent.applyToCall(request, () => this.#wrapped.call(request, signal));
   }
 
   override readLoad(): Promise<LoadReport> {
-    return this.#inner.readLoad();
+    return this.#wrapped.readLoad();
   }
 }
--- a/packages/standins/src/_lib/fleetWorld/index.ts
+++ b/packages/standins/src/_lib/FleetSimulation/index.ts
@@ -1,6 +1,6 @@
 /**
- * Instances that know each other by the store and by their links, for stories of failures on virtual
- * time.
+ * Simulates, in virtual time, instances that discover each other through the store and through their
+ * links, for failure tests.
  */
 import {
   createLog,
@@ -14,20 +14,20 @@
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import { MemoryFleet, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
 
-/** One run of an instance. */
+/** One process run of an instance. */
 export interface FleetNode {
   readonly fleet: InstanceFleet;
   readonly links: MemoryFleetLinks;
   readonly store: MemoryObjectStore;
   readonly metrics: Metrics;
-  /** Configuration versions that came into force, the newest last. */
+  /** Configuration versions that the instance applied, the newest last. */
   readonly versions: number[];
 }
 
-const silent = createLog('fleet', { level: 'fatal' });
+const silentLog = createLog('fleet', { level: 'fatal' });
 
-/** A store, a network and the instances between them. */
-export class FleetWorld {
+/** A store, a network and the instances that use them. */
+export class FleetSimulation {
   readonly clock = new ManualClock();
   readonly platform = new MemoryPlatform(this.clock);
   readonly network: MemoryFleet;
@@ -35,14 +35,14 @@
   readonly #random: () => number;
   #runs = 0;
 
-  /** @param ids - who starts at once */
+  /** @param ids - instances to start immediately */
   constructor(seed: number, ids: readonly string[]) {
     this.#random = createRandom(seed);
     this.network = new MemoryFleet({ clock: this.clock, seed });
     for (const id of ids) this.start(id);
   }
 
-  /** Starts an instance, also in place of its former run. */
+  /** Starts an instance, replacing its previous process run if there is one. */
   start(id: string, isServing = true, onPeerLive?: (peer: InstanceId) => void): FleetNode {
     this.#runs += 1;
     const { clock } = this;
@@ -62,7 +62,7 @@
     const configuration = { version, manifest: version, offer };
     const isStoreUnavailable = () => store.link.isDown;
     const metrics = new Metrics();
-    const shared = { store, links, clock, random: this.#random, log: silent, metrics };
+    const shared = { store, links, clock, random: this.#random, log: silentLog, metrics };
     const listener = onPeerLive === undefined ? {} : { onPeerLive };
     const fleet = new InstanceFleet({
       ...shared,
@@ -78,7 +78,7 @@
     return node;
   }
 
-  /** Takes an instance's power away: it ends without a word. */
+  /** Stops an instance as a power loss does: the others receive no notice. */
   powerOff(id: string): void {
     const node = this.nodes.get(id);
     if (node === undefined) return;
@@ -88,44 +88,44 @@
     this.nodes.delete(id);
   }
 
-  /** Lets the store turn some instances away, or all of them. */
-  turnAway(ids: readonly string[], isAway = true): void {
+  /** Makes the store unavailable to the given instances, or available again. */
+  setStoreUnavailable(ids: readonly string[], isUnavailable = true): void {
     for (const id of ids) {
       const node = this.nodes.get(id);
-      if (node !== undefined) node.store.link.isDown = isAway;
+      if (node !== undefined) node.store.link.isDown = isUnavailable;
     }
   }
 
-  /** Whom an instance names to callers beside itself. */
-  namedBy(id: string): string[] {
+  /** Ids of the other instances that an instance lists as usable to callers, sorted. */
+  listedBy(id: string): string[] {
     const usable = this.nodes.get(id)?.fleet.usable ?? [];
     return usable.map(({ instanceId }) => instanceId as string).sort();
   }
 
-  /** Whether all instances that run name an instance. */
-  isNamedByAll(id: string): boolean {
-    return this.#others(id).every((other) => this.namedBy(other).includes(id));
+  /** Whether all other running instances list an instance. */
+  isListedByAll(id: string): boolean {
+    return this.#otherIds(id).every((other) => this.listedBy(other).includes(id));
   }
 
-  /** Whether any instance that runs names an instance. */
-  isNamedByAny(id: string): boolean {
-    return this.#others(id).some((other) => this.namedBy(other).includes(id));
+  /** Whether any other running instance lists an instance. */
+  isListedByAny(id: string): boolean {
+    return this.#otherIds(id).some((other) => this.listedBy(other).includes(id));
   }
 
   /**
-   * Lets time pass in small steps, and looks at each.
+   * Advances the clock in steps of 50 ms and checks the condition after each.
    *
-   * @returns whether it was so at each step
+   * @returns whether the condition held after every step
    */
-  async always(isSo: () => boolean, forMs: number): Promise<boolean> {
+  async holdsThroughout(condition: () => boolean, forMs: number): Promise<boolean> {
     for (let passedMs = 0; passedMs < forMs; passedMs += 50) {
       await this.clock.advance(50);
-      if (!isSo()) return false;
+      if (!condition()) return false;
     }
     return true;
   }
 
-  #others(id: string): string[] {
+  #otherIds(id: string): string[] {
     return [...this.nodes.keys()].filter((other) => other !== id);
   }
 }
--- a/packages/standins/src/_lib/MemberFleet/index.ts
+++ b/packages/standins/src/_lib/MemberFleet/index.ts
@@ -10,65 +10,65 @@
 import type { ListedInstance } from '@acaciacrank/store';
 import { MemoryFleet, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
 
-/** One instance that has only its membership. */
+/** An instance reduced to its membership and the gossip of its configuration. */
 export interface MemberNode {
   readonly id: InstanceId;
   readonly membership: Membership;
   readonly links: MemoryFleetLinks;
   readonly metrics: Metrics;
-  /** Ids that this instance has given up so far. */
+  /** Ids of the members that this instance declared dead, one entry each time. */
   readonly givenUp: InstanceId[];
-  /** Every version that this instance acted on, the one in force last. */
+  /** Every configuration version that this instance applied, the one in force last. */
   readonly versions: number[];
   readonly spread: ConfigurationGossip;
 }
 
-const silent = createLog('members', { level: 'fatal' });
+const silentLog = createLog('members', { level: 'fatal' });
 
-/** Many instances that have only their membership, on a manual clock. */
+/** A fleet of instances reduced to their membership and configuration gossip, in virtual time. */
 export class MemberFleet {
   readonly clock = new ManualClock();
   readonly network: MemoryFleet;
   readonly nodes = new Map<string, MemberNode>();
-  /** The platform's list; it does not change by itself, as the longest lag would show. */
+  /** The platform's instance list. It never changes by itself, like a list with unbounded lag. */
   list: ListedInstance[];
   readonly #seed: number;
   readonly #manifestBytes: number;
-  /** What instances sent that are gone. */
-  readonly #sentBefore = { messages: 0, bytes: 0 };
-  #lives = 0;
+  /** Traffic sent by instances that were stopped. */
+  readonly #sentByStopped = { messages: 0, bytes: 0 };
+  #runCount = 0;
 
-  /** @param manifestBytes - how large the manifests are that spread */
+  /** @param manifestBytes - size of the padding in each manifest, in bytes */
   constructor(size: number, seed = 1, manifestBytes = 0) {
     this.#seed = seed;
     this.#manifestBytes = manifestBytes;
     this.network = new MemoryFleet({ clock: this.clock, seed });
     const ids = Array.from({ length: size }, (_, index) => `i${index + 1}`);
-    this.list = ids.map(listedAs);
+    this.list = ids.map(createListedInstance);
     for (const id of ids) this.start(id);
   }
 
-  /** Starts an instance, also in place of its former self. */
+  /** Starts an instance, replacing its previous process run if there is one. */
   start(id: string): MemberNode {
-    this.#lives += 1;
-    const life = `life${this.#lives}`;
+    this.#runCount += 1;
+    const life = `life${this.#runCount}`;
     const instanceId = id as InstanceId;
     const links = this.network.linksFor(instanceId);
     const metrics = new Metrics();
-    const random = createRandom(this.#seed * 100_003 + this.#lives);
+    const random = createRandom(this.#seed * 100_003 + this.#runCount);
     const { clock } = this;
     const rpc = new FleetRpc({ links, clock });
-    const { url, fleetUrl = '', failureDomain } = listedAs(id);
+    const { url, fleetUrl = '', failureDomain } = createListedInstance(id);
     const self = { id: instanceId, life, failureDomain };
     const versions = [1];
     const version = () => versions.at(-1) ?? 0;
-    const options = { clock, random, links, rpc, metrics, log: silent, self };
+    const options = { clock, random, links, rpc, metrics, log: silentLog, self };
     const membership = new Membership({ ...options, configurationVersion: version });
     const offer = (manifest: unknown) => {
-      const offered = (manifest as { version: number }).version;
-      if (offered <= version()) return false;
-      versions.push(offered);
-      spread.announce(offered);
+      const offeredVersion = (manifest as { version: number }).version;
+      if (offeredVersion <= version()) return false;
+      versions.push(offeredVersion);
+      spread.announce(offeredVersion);
       return true;
     };
     const padding = 'x'.repeat(this.#manifestBytes);
@@ -80,50 +80,50 @@
     membership.start({ url, fleetUrl });
     membership.declareLive();
     membership.applyInstanceList(this.list);
-    const dead = new Set<InstanceId>();
+    const deadIds = new Set<InstanceId>();
     void membership.members.changes.forEach((members) => {
       for (const { id: other, state } of members) {
-        if (state === 'dead' && !dead.has(other)) givenUp.push(other);
-        if (state === 'dead') dead.add(other);
-        else dead.delete(other);
+        if (state === 'dead' && !deadIds.has(other)) givenUp.push(other);
+        if (state === 'dead') deadIds.add(other);
+        else deadIds.delete(other);
       }
     });
     this.nodes.set(id, node);
     return node;
   }
 
-  /** Ends an instance without a word, as a power cut does. */
+  /** Stops an instance as a power loss does: the others receive no notice. */
   crash(id: string): void {
     const node = this.nodes.get(id);
     if (node === undefined) return;
-    this.#sentBefore.messages += node.links.traffic.sentMessages;
-    this.#sentBefore.bytes += node.links.traffic.sentBytes;
+    this.#sentByStopped.messages += node.links.traffic.sentMessages;
+    this.#sentByStopped.bytes += node.links.traffic.sentBytes;
     node.links[Symbol.dispose]();
     node.spread[Symbol.dispose]();
     void node.membership[Symbol.asyncDispose]();
     this.nodes.delete(id);
   }
 
-  /** Puts a version in force at one instance, as when only that one reaches the store. */
+  /** Applies a version at one instance, as if only that one could reach the store. */
   accept(id: string, version: number): void {
     this.nodes.get(id)?.versions.push(version);
     this.nodes.get(id)?.spread.announce(version);
   }
 
-  /** Whether a version is in force everywhere. */
+  /** Whether a version is in force at every instance. */
   isInForce(version: number): boolean {
     return [...this.nodes.values()].every(({ versions }) => versions.at(-1) === version);
   }
 
-  /** Ends an instance and starts it again, with no configuration. */
+  /** Stops an instance without notice and starts it again at version 1. */
   restart(id: string): void {
     this.crash(id);
     this.start(id);
   }
 
-  /** What all instances have sent, those that are gone included. */
+  /** Traffic sent by all instances, the stopped ones included. */
   sent(): { messages: number; bytes: number } {
-    const sum = { ...this.#sentBefore };
+    const sum = { ...this.#sentByStopped };
     for (const { links } of this.nodes.values()) {
       sum.messages += links.traffic.sentMessages;
       sum.bytes += links.traffic.sentBytes;
@@ -131,50 +131,50 @@
     return sum;
   }
 
-  /** How one instance sees another. */
-  view(from: string, of: string): Member | undefined {
-    return this.nodes.get(from)?.membership.members.value.find(({ id }) => id === of);
+  /** The member that one instance has on record for another. */
+  view(observer: string, observed: string): Member | undefined {
+    return this.nodes.get(observer)?.membership.members.value.find(({ id }) => id === observed);
   }
 
-  /** How all but itself see an instance. */
+  /** The members that all other instances have on record for an instance. */
   viewsOf(id: string): (Member | undefined)[] {
     return [...this.nodes.keys()]
       .filter((other) => other !== id)
-      .map((from) => this.view(from, id));
+      .map((observer) => this.view(observer, id));
   }
 
-  /** Whether everybody sees everybody else that runs as live. */
+  /** Whether every running instance sees every other one as live. */
   get isWhole(): boolean {
     const ids = [...this.nodes.keys()];
     return ids.every((id) => this.viewsOf(id).every((member) => member?.state === 'live'));
   }
 
   /**
-   * Lets time pass until something is so.
+   * Advances the clock until the condition holds.
    *
-   * @returns how long it took, in milliseconds; undefined when it did not come within the limit
+   * @returns the time that it took, in milliseconds; undefined if the limit was reached
    */
-  async timeUntil(isSo: () => boolean, limitMs: number): Promise<number | undefined> {
+  async timeUntil(condition: () => boolean, limitMs: number): Promise<number | undefined> {
     const startMs = this.clock.monotonicMs();
     while (this.clock.monotonicMs() - startMs <= limitMs) {
-      if (isSo()) return this.clock.monotonicMs() - startMs;
+      if (condition()) return this.clock.monotonicMs() - startMs;
       await this.clock.advance(50);
     }
     return undefined;
   }
 
-  /** All that was given up by anybody so far. */
+  /** Ids of the members that any instance declared dead. */
   givenUp(): InstanceId[] {
     return [...this.nodes.values()].flatMap((node) => node.givenUp);
   }
 
-  /** A counter, over all instances. */
+  /** The sum of a counter over all running instances. */
   counted(metric: string): number {
     return [...this.nodes.values()].reduce((sum, { metrics }) => sum + metrics.counter(metric), 0);
   }
 }
 
-function listedAs(id: string): ListedInstance {
+function createListedInstance(id: string): ListedInstance {
   return {
     id: id as InstanceId,
     role: 'entry',
--- a/packages/standins/src/_lib/limitWorld/index.ts
+++ b/packages/standins/src/_lib/RateLimitSimulation/index.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates, on virtual time, instances that send requests to upstreams with rate limits.
+ * Simulates, in virtual time, instances that send requests to upstreams with rate limits.
  */
 import {
   createRandom,
@@ -10,12 +10,12 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import { UpstreamLimitGossip, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
-import { FleetWorld, type FleetNode } from '../fleetWorld/index.js';
+import { FleetSimulation, type FleetNode } from '../FleetSimulation/index.js';
 
-/** One run of an instance, with its upstreams. */
-interface Sender extends FleetNode {
+/** One process run of an instance, with its upstream table. */
+interface SendingNode extends FleetNode {
   readonly table: UpstreamTable;
-  readonly spread: UpstreamLimitGossip;
+  readonly gossip: UpstreamLimitGossip;
 }
 
 /** A simulated upstream: the limit that it sets and the requests that it received. */
@@ -30,26 +30,26 @@
 /** One-way network latency to an upstream, in milliseconds. */
 const latencyMs = 2;
 /** Processing time of a request, in milliseconds. */
-const workMs = 20;
-/** The step of virtual time, in milliseconds. */
+const processingMs = 20;
+/** Step of virtual time, in milliseconds. */
 const stepMs = 10;
 
 /** A fleet of instances and the upstreams of one service. */
-export class LimitWorld {
-  readonly fleet: FleetWorld;
+export class RateLimitSimulation {
+  readonly fleet: FleetSimulation;
   readonly upstreams: readonly LimitedUpstream[];
-  /** Requests that were sent, and requests that were refused because no upstream had room. */
+  /** Requests sent, and requests refused because no upstream had capacity. */
   readonly counts = { sent: 0, refused: 0 };
-  readonly #senders = new Map<string, Sender>();
+  readonly #senders = new Map<string, SendingNode>();
   readonly #random: Random;
-  readonly #frozen = new Set<string>();
-  readonly #sharesLimits: boolean;
+  readonly #suspended = new Set<string>();
+  readonly #isSharingLimits: boolean;
 
-  /** @param sharesLimits - whether instances share limits; if false, each uses the whole of them */
-  constructor(seed: number, ids: readonly string[], upstreamCount: number, sharesLimits = true) {
-    this.#sharesLimits = sharesLimits;
+  /** @param isSharingLimits - whether instances share limits; if false, each one uses the full limits */
+  constructor(seed: number, ids: readonly string[], upstreamCount: number, isSharingLimits = true) {
+    this.#isSharingLimits = isSharingLimits;
     this.#random = createRandom(seed * 7_919);
-    this.fleet = new FleetWorld(seed, []);
+    this.fleet = new FleetSimulation(seed, []);
     this.upstreams = Array.from({ length: upstreamCount }, (_, index) => ({
       record: recordOf(`u${index}`),
       limitPerS: undefined,
@@ -58,59 +58,59 @@
     for (const id of ids) this.start(id);
   }
 
-  /** Starts an instance, replacing its previous run if there is one. */
+  /** Starts an instance, replacing its previous process run if there is one. */
   start(id: string): void {
     const { clock } = this.fleet;
     const node = this.fleet.start(id, true, (peer) => {
-      spread.sendAllTo(peer);
+      gossip.sendAllTo(peer);
     });
     const { links, fleet } = node;
     const table: UpstreamTable = new UpstreamTable({
       clock,
       limitSharing: {
         instanceId: id as InstanceId,
-        sharers: () => (this.#sharesLimits ? fleet.rateSharingInstances : [id as InstanceId]),
+        sharers: () => (this.#isSharingLimits ? fleet.rateSharingInstances : [id as InstanceId]),
       },
       onChange: ({ upstreamId, what, toldBy }) => {
         const upstream = table.get(upstreamId);
         if (!what.startsWith('limit') || toldBy !== undefined || upstream === undefined) return;
-        spread.announce(upstream);
+        gossip.announce(upstream);
       },
     });
     table.replaceAll(this.upstreams.map(({ record }) => record));
     const peers = () => fleet.liveInstances.filter((other) => (other as string) !== id);
-    const spread: UpstreamLimitGossip = new UpstreamLimitGossip({
+    const gossip: UpstreamLimitGossip = new UpstreamLimitGossip({
       links,
       clock,
       random: this.#random,
       table,
       peers,
     });
-    void spread.run();
-    this.#senders.set(id, { ...node, table, spread });
+    void gossip.run();
+    this.#senders.set(id, { ...node, table, gossip });
   }
 
-  /** Ends an instance without notice to the others. */
+  /** Stops an instance as a power loss does: the others receive no notice. */
   powerOff(id: string): void {
-    this.#senders.get(id)?.spread[Symbol.dispose]();
+    this.#senders.get(id)?.gossip[Symbol.dispose]();
     this.#senders.delete(id);
     this.fleet.powerOff(id);
   }
 
   /** Disconnects an instance from the store and from all others; it still receives requests. */
-  cutOff(id: string, isCut = true): void {
-    this.fleet.network.isolate(id, isCut);
-    this.fleet.turnAway([id], isCut);
+  isolate(id: string, isIsolated = true): void {
+    this.fleet.network.isolate(id, isIsolated);
+    this.fleet.setStoreUnavailable([id], isIsolated);
   }
 
   /** Simulates a suspended process: the instance sends no requests and does not reach the others. */
-  freeze(id: string, isFrozen = true): void {
-    if (isFrozen) this.#frozen.add(id);
-    else this.#frozen.delete(id);
-    this.fleet.network.isolate(id, isFrozen);
+  suspend(id: string, isSuspended = true): void {
+    if (isSuspended) this.#suspended.add(id);
+    else this.#suspended.delete(id);
+    this.fleet.network.isolate(id, isSuspended);
   }
 
-  /** Starts a planned leave of an instance; it still sends the requests that it receives. */
+  /** Starts a planned shutdown of an instance; it still sends the requests that it receives. */
   leave(id: string): void {
     this.#senders.get(id)?.fleet.leave();
   }
@@ -124,7 +124,7 @@
   async run(forMs: number, requestsPerSecond: number): Promise<void> {
     for (let passedMs = 0; passedMs < forMs; passedMs += stepMs) {
       await this.fleet.clock.advance(stepMs);
-      const serving = [...this.#senders].filter(([id]) => !this.#frozen.has(id));
+      const serving = [...this.#senders].filter(([id]) => !this.#suspended.has(id));
       const share = (requestsPerSecond * stepMs) / 1_000 / serving.length;
       for (const [, sender] of serving) {
         let due = share;
@@ -151,9 +151,9 @@
     return Math.max(0, ...counts);
   }
 
-  #send({ table }: Sender): void {
-    const withRoom = table.usable(service).filter(({ hasRoom }) => hasRoom);
-    const chosen = withRoom[Math.floor(this.#random() * withRoom.length)];
+  #send({ table }: SendingNode): void {
+    const available = table.usable(service).filter(({ hasRoom }) => hasRoom);
+    const chosen = available[Math.floor(this.#random() * available.length)];
     const upstream = this.upstreams.find(({ record }) => record.id === chosen?.id);
     if (chosen === undefined || upstream === undefined) {
       this.counts.refused += 1;
@@ -161,14 +161,18 @@
     }
     this.counts.sent += 1;
     const { clock } = this.fleet;
-    const send = chosen.begin(undefined);
+    const inFlight = chosen.begin(undefined);
     clock.schedule(latencyMs, () => upstream.arrivalsMs.push(clock.monotonicMs()));
-    clock.schedule(latencyMs + workMs, () => {
+    clock.schedule(latencyMs + processingMs, () => {
       const requestsPerSecond = upstream.limitPerS ?? Infinity;
       clock.schedule(latencyMs, () => {
-        chosen.end(send);
-        const stated = { requestsPerSecond, sentMs: send.sentMs, receivedMs: clock.monotonicMs() };
-        const change = chosen.limit.update(stated);
+        chosen.end(inFlight);
+        const limitStatement = {
+          requestsPerSecond,
+          sentMs: inFlight.sentMs,
+          receivedMs: clock.monotonicMs(),
+        };
+        const change = chosen.limit.update(limitStatement);
         if (change !== undefined) table.reportLimitChange(chosen, change);
       });
     });
--- a/packages/standins/src/_lib/StreamLoad/index.ts
+++ b/packages/standins/src/_lib/StreamLoad/index.ts
@@ -1,5 +1,5 @@
 /**
- * A local fleet under a steady stream of seeded chat calls, for experiments on streams.
+ * A local fleet that serves seeded chat calls, for experiments on token streams.
  */
 import {
   createRandom,
@@ -35,15 +35,15 @@
   wrap?: (options: InstanceOptions) => InstanceOptions;
 }
 
-/** One call as its caller saw it. */
+/** The result of a call as its caller observed it. */
 export interface CallOutcome {
   final: ChatFinalFrame | undefined;
   tokens: number;
-  /** The longest wait between two tokens. */
+  /** Longest time between two consecutive frames, in milliseconds. */
   longestGapMs: number;
 }
 
-/** One instance, four engines, and callers that come one after the other. */
+/** One instance and four engines; the experiment makes the calls. */
 export class StreamLoad implements AsyncDisposable {
   readonly fleet: LocalFleet;
   readonly random: Random;
@@ -77,7 +77,7 @@
     return [...this.fleet.clients.engines.values()].flatMap(({ records }) => [...records.values()]);
   }
 
-  /** A call of its own prompt. */
+  /** Creates a call with a prompt and an idempotency key of its own. */
   callOf(index: number): ChatCall {
     return {
       accountKey: 'secret',
@@ -90,24 +90,24 @@
     };
   }
 
-  /** Reads one call's answer. */
+  /** Makes a call and reads its stream to the end; a stream that breaks off is not thrown. */
   async read(
     call: ChatCall,
     signal: AbortSignal = new AbortController().signal,
   ): Promise<CallOutcome> {
     const { clock } = this.fleet;
     const outcome: CallOutcome = { final: undefined, tokens: 0, longestGapMs: 0 };
-    let lastMs: number | undefined;
+    let previousFrameMs: number | undefined;
     try {
       for await (const frame of this.instance.chat.run(call, signal)) {
         const nowMs = clock.monotonicMs();
-        outcome.longestGapMs = Math.max(outcome.longestGapMs, nowMs - (lastMs ?? nowMs));
-        lastMs = nowMs;
+        outcome.longestGapMs = Math.max(outcome.longestGapMs, nowMs - (previousFrameMs ?? nowMs));
+        previousFrameMs = nowMs;
         if (frame.kind === 'final') outcome.final = frame;
         else outcome.tokens += 1;
       }
     } catch {
-      // The missing final frame says that it broke off.
+      // The missing final frame shows that the stream broke off.
     }
     return outcome;
   }
@@ -117,7 +117,7 @@
   }
 }
 
-/** The value below which a share of the values lies. */
+/** The value below which `share` (0 to 1) of the values lie, rounded; 0 without values. */
 export function quantile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   const index = Math.min(sorted.length - 1, Math.floor(share * sorted.length));
--- a/packages/standins/src/_lib/UnreliableStore/index.ts
+++ b/packages/standins/src/_lib/UnreliableStore/index.ts
@@ -1,5 +1,5 @@
 /**
- * A store whose writes lose their answers, or come into effect late.
+ * An object store with fault injection: lost responses, delayed writes and outages.
  */
 import { RouterError, type Clock, type Random } from '@acaciacrank/base';
 import {
@@ -17,18 +17,21 @@
 export interface UnreliableStoreOptions {
   clock: Clock;
   random: Random;
-  /** The share of writes that are done and not answered. */
-  lostShare: number;
-  /** The share of writes that are not answered and done seconds later, if their condition holds. */
-  lateShare: number;
-  /** Whether the store is away now. */
-  isAway: () => boolean;
+  /** Probability that a write takes effect but its response is lost. */
+  lostResponseProbability: number;
+  /**
+   * Probability that a write fails without a response and is applied seconds later, if its condition
+   * still holds then.
+   */
+  delayedWriteProbability: number;
+  /** Whether every call fails at present. */
+  isUnavailable: () => boolean;
 }
 
-/** The least and the most by which a late write is late, in milliseconds. */
-const lateMs = { least: 1_000, most: 6_000 } as const;
+/** Range of the delay of a delayed write, in milliseconds. */
+const writeDelayMs = { min: 1_000, max: 6_000 } as const;
 
-/** One user's view of a store that fails as the users' platform may. */
+/** One client's connection to a store that fails as the production platform may. */
 export class UnreliableStore extends ObjectStore {
   readonly #store: ObjectStore;
   readonly #options: UnreliableStoreOptions;
@@ -40,7 +43,7 @@
   }
 
   override async read(key: string): Promise<StoredObject | undefined> {
-    this.#reach();
+    this.#assertAvailable();
     return this.#store.read(key);
   }
 
@@ -49,26 +52,26 @@
     value: unknown,
     condition: WriteCondition,
   ): Promise<WriteResult> {
-    this.#reach();
-    const { clock, random, lostShare, lateShare } = this.#options;
-    const luck = random();
-    if (luck < lateShare) {
-      const delayMs = lateMs.least + random() * (lateMs.most - lateMs.least);
+    this.#assertAvailable();
+    const { clock, random, lostResponseProbability, delayedWriteProbability } = this.#options;
+    const draw = random();
+    if (draw < delayedWriteProbability) {
+      const delayMs = writeDelayMs.min + random() * (writeDelayMs.max - writeDelayMs.min);
       clock.schedule(delayMs, () => void this.#store.write(key, value, condition));
-      throw unanswered();
+      throw createNoResponseError();
     }
     const result = await this.#store.write(key, value, condition);
-    if (luck < lateShare + lostShare) throw unanswered();
+    if (draw < delayedWriteProbability + lostResponseProbability) throw createNoResponseError();
     return result;
   }
 
   override async remove(key: string, version: number): Promise<WriteResult> {
-    this.#reach();
+    this.#assertAvailable();
     return this.#store.remove(key, version);
   }
 
   override async snapshot(prefix: string, options?: SnapshotOptions): Promise<StoreSnapshot> {
-    this.#reach();
+    this.#assertAvailable();
     return this.#store.snapshot(prefix, options);
   }
 
@@ -78,15 +81,15 @@
     signal: AbortSignal,
     options?: WatchOptions,
   ): Promise<StoreChanges> {
-    this.#reach();
+    this.#assertAvailable();
     return this.#store.watch(prefix, sinceRevision, signal, options);
   }
 
-  #reach(): void {
-    if (this.#options.isAway()) throw unanswered();
+  #assertAvailable(): void {
+    if (this.#options.isUnavailable()) throw createNoResponseError();
   }
 }
 
-function unanswered(): RouterError {
+function createNoResponseError(): RouterError {
   return new RouterError('storeUnavailable', 'the store did not answer');
 }
--- a/packages/standins/src/_lib/runNamed/index.ts
+++ b/packages/standins/src/_lib/runNamed/index.ts
@@ -1,34 +1,35 @@
 /**
- * What the experiment and bench programs share: they run a module by its name and print its rows.
+ * The command line of the experiment and benchmark programs: runs a module by name and prints the rows
+ * that it returns.
  */
 import { cac } from 'cac';
 import { existsSync, readdirSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { printTable, type ResultRow } from '../../printTable/index.js';
 
-/** What the command line asks of a run. */
+/** Options of a run, from the command line. */
 export interface RunOptions {
-  /** Makes every random choice of the run. */
+  /** Seed of every random choice of the run. */
   readonly seed: number;
-  /** All other flags of the command line, in camel case; a run may narrow itself by them. */
+  /** All flags of the command line, in camel case; a run may use them to limit its cases. */
   readonly flags: Readonly<Record<string, unknown>>;
 }
 
-/** A module that can be run by name exports this as `run`. */
+/** The function that a module exports as `run` to be runnable by name. */
 export type NamedRun = (options: RunOptions) => Promise<readonly ResultRow[]>;
 
 /**
  * Runs the program.
  *
- * @param program - its name, for the help text
- * @param folder - URL of the folder that holds one folder a run
+ * @param program - name of the program, for the help text
+ * @param folder - URL of the folder that contains one folder per module
  */
 export async function runNamed(program: string, folder: URL): Promise<void> {
   const names = existsSync(folder) ? readdirSync(fileURLToPath(folder)) : [];
   const cli = cac(program);
   cli.usage(`<name> [--seed N] [--json]\n\nNames: ${names.join(', ') || '(none)'}`);
   cli.option('--json', 'Print one JSON array and nothing else');
-  cli.option('--seed <n>', 'Makes every random choice', { default: 1 });
+  cli.option('--seed <n>', 'Seed of every random choice', { default: 1 });
   cli.help();
   const { args, options } = cli.parse();
   if (options.help === true) return;
--- a/packages/standins/src/_lib/serveJson/index.ts
+++ b/packages/standins/src/_lib/serveJson/index.ts
@@ -1,13 +1,13 @@
 /**
- * What the stand-ins' small HTTP servers share.
+ * Helpers of the stand-ins' HTTP servers.
  */
 import { toRouterError } from '@acaciacrank/base';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 
-/** Answers one request; what it throws is answered by its kind. */
+/** Handles one request; a thrown error becomes a JSON response with the error's HTTP status. */
 export type Route = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<void>;
 
-/** Makes a server around one route function. */
+/** Creates an HTTP server, not yet listening, that passes every request to the route. */
 export function serveJson(route: Route): Server {
   return createServer((request, response) => {
     const url = new URL(request.url ?? '/', 'http://standin');
@@ -19,7 +19,7 @@
   });
 }
 
-/** Writes a JSON answer. */
+/** Sends a JSON response; an undefined body is sent as an empty one. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -30,14 +30,14 @@
   response.end(body === undefined ? '' : JSON.stringify(body));
 }
 
-/** Reads a whole body as text. */
+/** Reads the whole request body as UTF-8 text. */
 export async function readText(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk);
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Aborted when the connection of an answer closes. */
+/** Creates a signal that aborts when the connection of a response closes. */
 export function closedSignal(response: ServerResponse): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
