--- a/packages/standins/src/failures/anyFault/test.ts
+++ b/packages/standins/src/failures/anyFault/test.ts
@@ -29,13 +29,13 @@
 `;
 const budget = { accountId: 'one' as never, budgetId: 'one-2026' as BudgetId, openingTokens: 0 };
 
-/** One caller: when it goes away, whether it comes back, and where. */
-interface Visit {
-  readonly leavesAfterMs: number | undefined;
-  readonly returnsTo: number | undefined;
+/** One caller: when it disconnects, and the index of the instance at which it retries, if it does. */
+interface CallerPlan {
+  readonly disconnectsAfterMs: number | undefined;
+  readonly retryInstanceIndex: number | undefined;
 }
 
-const faults = fc.option(
+const faultArbitrary = fc.option(
   fc.oneof(
     fc.constant<ConnectionFault>({ kind: 'refused' }),
     fc.record({
@@ -45,17 +45,23 @@
   ),
   { nil: undefined, freq: 2 },
 );
-const visits = fc.record<Visit>({
-  leavesAfterMs: fc.option(fc.integer({ min: 0, max: 4_000 }), { nil: undefined }),
-  returnsTo: fc.option(fc.integer({ min: 0, max: 1 }), { nil: undefined }),
+const callerArbitrary = fc.record<CallerPlan>({
+  disconnectsAfterMs: fc.option(fc.integer({ min: 0, max: 4_000 }), { nil: undefined }),
+  retryInstanceIndex: fc.option(fc.integer({ min: 0, max: 1 }), { nil: undefined }),
 });
 
-/** Connections fail one by one as planned; from one on, an engine is gone for good. */
-function planOf(plan: readonly (ConnectionFault | undefined)[], goneFrom: number): FaultPlan {
-  let gone: string | undefined;
+/**
+ * Applies the faults in the order of the connections; from `lostFromIndex` on, the engine of the first
+ * connection refuses every one.
+ */
+function createFaultPlan(
+  plan: readonly (ConnectionFault | undefined)[],
+  lostFromIndex: number,
+): FaultPlan {
+  let lostEngineId: string | undefined;
   return ({ engineId }, index) => {
-    gone ??= engineId;
-    return engineId === gone && index >= goneFrom ? { kind: 'refused' } : plan[index];
+    lostEngineId ??= engineId;
+    return engineId === lostEngineId && index >= lostFromIndex ? { kind: 'refused' } : plan[index];
   };
 }
 
@@ -74,7 +80,11 @@
   return received;
 }
 
-async function visit(fleet: LocalFleet, index: number, { leavesAfterMs, returnsTo }: Visit) {
+async function runCaller(
+  fleet: LocalFleet,
+  index: number,
+  { disconnectsAfterMs, retryInstanceIndex }: CallerPlan,
+) {
   const call: ChatCall = {
     accountKey: 'secret',
     budgetId: budget.budgetId,
@@ -86,19 +96,21 @@
   };
   const [first] = fleet.instances as [LocalInstance];
   const abort = new AbortController();
-  if (leavesAfterMs !== undefined) {
-    fleet.clock.schedule(leavesAfterMs, () => {
+  if (disconnectsAfterMs !== undefined) {
+    fleet.clock.schedule(disconnectsAfterMs, () => {
       abort.abort();
     });
   }
   const answers = [await receive(first, call, abort.signal)];
-  const back = returnsTo === undefined ? undefined : fleet.instances[returnsTo];
-  if (back !== undefined) answers.push(await receive(back, call, new AbortController().signal));
+  const retryInstance =
+    retryInstanceIndex === undefined ? undefined : fleet.instances[retryInstanceIndex];
+  if (retryInstance !== undefined)
+    answers.push(await receive(retryInstance, call, new AbortController().signal));
   return answers;
 }
 
-/** What is wrong with what one caller got; undefined when nothing is. */
-function faultOf({ frames, error }: Received): string | undefined {
+/** Returns the first invariant that a stream violates, or undefined. */
+function findViolation({ frames, error }: Received): string | undefined {
   const final = frames.find((frame) => frame.kind === 'final');
   const tokens = frames.filter((frame) => frame.kind === 'token');
   const isSpliced = tokens.some(({ requestId, sequence, text }, index) => {
@@ -108,19 +120,25 @@
       text !== tokenText(requestId, index)
     );
   });
-  if (isSpliced) return 'spliced';
+  if (isSpliced) return 'tokens of more than one stream, or out of order';
   if (final === undefined) {
-    if (!(error instanceof RouterError)) return 'ended without a word';
-    return tokens.length > 0 && error.ran === 'notRun' ? 'told not run after a token' : undefined;
+    if (!(error instanceof RouterError))
+      return 'ended with neither a final frame nor a RouterError';
+    return tokens.length > 0 && error.ran === 'notRun'
+      ? 'reported as not run after a token'
+      : undefined;
   }
-  if (error !== undefined) return 'an error after the final frame';
-  return final.outputTokens === tokens.length ? undefined : 'final frame before the end';
+  if (error !== undefined) return 'error after the final frame';
+  return final.outputTokens === tokens.length
+    ? undefined
+    : 'final frame with a wrong number of tokens';
 }
 
-// A coordinator reads half of another plan, is charged twice, or finds the budget locked: connections
-// to engines are refused, die and fall silent in any order, callers leave and come back anywhere.
-test('whatever happens to connections and callers, answers are whole and billed once', async (t) => {
-  const run = async (plan: FaultPlan, callers: Visit[]) => {
+// Guards against streams that mix two generations, requests that are billed twice, and tokens that stay
+// reserved. Connections to engines are refused, break and hang in any order; callers disconnect, and
+// retry at any instance.
+test('under any faults of connections and callers, responses are complete and billed once', async (t) => {
+  const runScenario = async (plan: FaultPlan, callers: CallerPlan[]) => {
     await using fleet = await createLocalFleet({
       document,
       instanceOptions: { grantPolicy: new FixedGrantPolicy(2_000) },
@@ -129,11 +147,11 @@
         clients: new FaultyUpstreams(parts.clients, plan),
       }),
     });
-    const visiting = callers.map((caller, index) => visit(fleet, index, caller));
-    const answers = (await fleet.clock.runUntil(Promise.all(visiting))).flat();
+    const pending = callers.map((caller, index) => runCaller(fleet, index, caller));
+    const answers = (await fleet.clock.runUntil(Promise.all(pending))).flat();
     await fleet.clock.advance(120_000);
     for (const { instance } of fleet.instances) {
-      if (instance.openWork > 0) return 'work left open';
+      if (instance.openWork > 0) return 'open work left';
       await fleet.clock.runUntil(instance.ledger.closeAll());
     }
     const [first] = fleet.instances as [LocalInstance];
@@ -141,16 +159,17 @@
     const finals = new Set(
       answers.flatMap(({ frames }) => frames.filter(({ kind }) => kind === 'final')),
     );
-    if (status.grantedTokens > 0) return 'tokens left held';
+    if (status.grantedTokens > 0) return 'tokens still reserved';
     if (status.bills > callers.length) return 'more bills than requests';
-    if (finals.size > 0 && status.bills === 0) return 'an answer without a bill';
-    return answers.map(faultOf).find((fault) => fault !== undefined);
+    if (finals.size > 0 && status.bills === 0) return 'response without a bill';
+    return answers.map(findViolation).find((violation) => violation !== undefined);
   };
   const property = fc.asyncProperty(
-    fc.array(faults, { maxLength: 20 }),
+    fc.array(faultArbitrary, { maxLength: 20 }),
     fc.integer({ min: 1, max: 20 }),
-    fc.array(visits, { minLength: 1, maxLength: 4 }),
-    async (plan, goneFrom, callers) => (await run(planOf(plan, goneFrom), callers)) === undefined,
+    fc.array(callerArbitrary, { minLength: 1, maxLength: 4 }),
+    async (plan, lostFromIndex, callers) =>
+      (await runScenario(createFaultPlan(plan, lostFromIndex), callers)) === undefined,
   );
   await t.notThrowsAsync(fc.assert(property, { seed: 9, numRuns: 50 }));
 });
--- a/packages/standins/src/failures/anyServiceFault/test.ts
+++ b/packages/standins/src/failures/anyServiceFault/test.ts
@@ -24,40 +24,46 @@
 `;
 const budget = { accountId: 'one' as never, budgetId: 'one-2026' as BudgetId, openingTokens: 0 };
 
-/** One try of a caller: where, how long after the last one, and when it goes away. */
-interface Press {
+/**
+ * One attempt of a caller: the index of the instance, the wait after the previous attempt, and when the
+ * caller disconnects.
+ */
+interface Attempt {
   readonly at: number;
   readonly waitMs: number;
-  readonly leavesAfterMs: number | undefined;
+  readonly disconnectsAfterMs: number | undefined;
 }
 
-const presses = fc.record<Press>({
+const attemptArbitrary = fc.record<Attempt>({
   at: fc.integer({ min: 0, max: 1 }),
   waitMs: fc.integer({ min: 0, max: 3_000 }),
-  leavesAfterMs: fc.option(fc.integer({ min: 0, max: 100 }), { nil: undefined }),
+  disconnectsAfterMs: fc.option(fc.integer({ min: 0, max: 100 }), { nil: undefined }),
 });
-const faults = fc.option(
+const faultArbitrary = fc.option(
   fc.constantFrom<ServiceFault>('refused', 'refused', 'busy', 'answerLost', 'silent'),
   { nil: undefined, freq: 2 },
 );
-/** When an instance's link to the store is away, in milliseconds from the start. */
-const outages = fc.record({
+/** A store outage of one instance: its index, the start in milliseconds, and the duration. */
+const outageArbitrary = fc.record({
   at: fc.integer({ min: 0, max: 1 }),
   fromMs: fc.integer({ min: 0, max: 4_000 }),
   forMs: fc.integer({ min: 1, max: 3_000 }),
 });
 
-/** What one try was told, and how often the call had run by then. */
-interface Told {
+/** The error of one attempt, if any, and how often the call had run by then. */
+interface AttemptResult {
   readonly error: RouterError | undefined;
-  readonly runsThen: number;
+  readonly runsSoFar: number;
 }
 
-function runsOf(fleet: LocalFleet): number {
+function countRuns(fleet: LocalFleet): number {
   return [...fleet.clients.services.values()].reduce((sum, { runs }) => sum + runs.length, 0);
 }
 
-async function press(fleet: LocalFleet, { at, waitMs, leavesAfterMs }: Press): Promise<Told> {
+async function runAttempt(
+  fleet: LocalFleet,
+  { at, waitMs, disconnectsAfterMs }: Attempt,
+): Promise<AttemptResult> {
   const call: ServiceCall = {
     accountKey: 'secret',
     budgetId: budget.budgetId,
@@ -71,28 +77,28 @@
   };
   await fleet.clock.sleep(waitMs);
   const abort = new AbortController();
-  if (leavesAfterMs !== undefined) {
-    fleet.clock.schedule(leavesAfterMs, () => {
+  if (disconnectsAfterMs !== undefined) {
+    fleet.clock.schedule(disconnectsAfterMs, () => {
       abort.abort();
     });
   }
   try {
     await fleet.instances[at]?.instance.services.run(call, abort.signal);
-    return { error: undefined, runsThen: runsOf(fleet) };
+    return { error: undefined, runsSoFar: countRuns(fleet) };
   } catch (error) {
-    if (error instanceof RouterError) return { error, runsThen: runsOf(fleet) };
+    if (error instanceof RouterError) return { error, runsSoFar: countRuns(fleet) };
     throw error;
   }
 }
 
-// A family presses "confirm" again and again, at two instances, while services refuse, break and fall
-// silent and instances lose the store: it must not book twice, nor pay twice, nor be told "not run" of
-// a confirmation that ran.
-test('whatever happens, a confirmation runs at most once and is billed as often', async (t) => {
-  const run = async (
+// Guards against a call that runs or is billed twice, and against "not run" for a call that ran. A caller
+// repeats one call at two instances while services refuse it, break the connection or hang, and
+// instances lose the store.
+test('under any faults, a call runs at most once and is billed at most once', async (t) => {
+  const runScenario = async (
     plan: (ServiceFault | undefined)[],
-    tries: Press[],
-    away: { at: number; fromMs: number; forMs: number }[],
+    attempts: Attempt[],
+    outages: { at: number; fromMs: number; forMs: number }[],
   ) => {
     await using fleet = await createLocalFleet({
       document,
@@ -107,7 +113,7 @@
         ),
       }),
     });
-    for (const { at, fromMs, forMs } of away) {
+    for (const { at, fromMs, forMs } of outages) {
       const link = fleet.instances[at]?.store.link;
       if (link === undefined) continue;
       fleet.clock.schedule(fromMs, () => {
@@ -117,38 +123,39 @@
         link.isDown = false;
       });
     }
-    const told = await fleet.clock.runUntil(
+    const results = await fleet.clock.runUntil(
       (async () => {
-        const all: Told[] = [];
-        for (const each of tries) all.push(await press(fleet, each));
-        return all;
+        const attemptResults: AttemptResult[] = [];
+        for (const attempt of attempts) attemptResults.push(await runAttempt(fleet, attempt));
+        return attemptResults;
       })(),
     );
     await fleet.clock.advance(120_000);
     for (const { instance } of fleet.instances) {
-      if (instance.openWork > 0) return 'work left open';
+      if (instance.openWork > 0) return 'open work left';
       await fleet.clock.runUntil(instance.ledger.closeAll());
     }
     const [first] = fleet.instances as [LocalInstance];
     const status = await fleet.clock.runUntil(readBudget(first.store, budget));
-    const runs = runsOf(fleet);
-    const isAnswered = told.some(({ error }) => error === undefined);
-    const isDoubtful = told.some(({ error }) => error !== undefined && error.ran !== 'notRun');
-    if (status.grantedTokens > 0) return 'tokens left held';
+    const runs = countRuns(fleet);
+    const isAnswered = results.some(({ error }) => error === undefined);
+    const isUncertain = results.some(({ error }) => error !== undefined && error.ran !== 'notRun');
+    if (status.grantedTokens > 0) return 'tokens still reserved';
     if (runs > 1) return 'ran twice';
     if (status.bills > 1 || status.bills < runs) return `${runs} runs and ${status.bills} bills`;
-    if (status.bills > runs && !isAnswered && !isDoubtful) return 'billed without a run or a doubt';
-    const isLie = ({ error, runsThen }: Told) =>
-      runsThen > 0 && error?.ran === 'notRun' && error.claimScope === 'request';
-    return told.some(isLie) ? 'told not run of what ran' : undefined;
+    if (status.bills > runs && !isAnswered && !isUncertain)
+      return 'billed although every attempt reported that the call did not run';
+    const isFalseNotRun = ({ error, runsSoFar }: AttemptResult) =>
+      runsSoFar > 0 && error?.ran === 'notRun' && error.claimScope === 'request';
+    return results.some(isFalseNotRun) ? 'reported as not run although it ran' : undefined;
   };
   const property = fc.asyncProperty(
-    fc.array(faults, { maxLength: 8 }),
-    fc.array(presses, { minLength: 1, maxLength: 4 }),
-    fc.array(outages, { maxLength: 2 }),
-    async (plan, tries, away) => {
-      const fault = await run(plan, tries, away);
-      if (fault !== undefined) throw new Error(fault);
+    fc.array(faultArbitrary, { maxLength: 8 }),
+    fc.array(attemptArbitrary, { minLength: 1, maxLength: 4 }),
+    fc.array(outageArbitrary, { maxLength: 2 }),
+    async (plan, attempts, outages) => {
+      const violation = await runScenario(plan, attempts, outages);
+      if (violation !== undefined) throw new Error(violation);
     },
   );
   await t.notThrowsAsync(fc.assert(property, { seed: 3, numRuns: 30 }));
--- a/packages/standins/src/failures/engineOrders/test.ts
+++ b/packages/standins/src/failures/engineOrders/test.ts
@@ -19,49 +19,50 @@
 
 const holds = ', holds: { models: [{ model: small, version: v2 }], loadsPerMinute: 60 }';
 
-function versions(fleet: LocalFleet): (string | undefined)[] {
+function loadedVersions(fleet: LocalFleet): (string | undefined)[] {
   return [...fleet.clients.engines.values()].map(
     ({ control }) => control.state().models[0]?.version,
   );
 }
 
-function givers(fleet: LocalFleet): string[] {
+function orderingInstances(fleet: LocalFleet): string[] {
   return fleet.instances
     .filter(({ instance }) => instance.metrics.counter('ordersGiven', 'loadModel') > 0)
     .map(({ id }) => id);
 }
 
-test('one instance of five brings the engines to what the document says', async (t) => {
+test('one of five instances orders the engines to load what the document specifies', async (t) => {
   await using fleet = await createLocalFleet({ document: documentWith(holds), instances: 5 });
   await fleet.clock.advance(30_000);
-  t.deepEqual(versions(fleet), ['v2', 'v2']);
-  t.is(givers(fleet).length, 1);
+  t.deepEqual(loadedVersions(fleet), ['v2', 'v2']);
+  t.is(orderingInstances(fleet).length, 1);
   const acted = [...fleet.clients.engines.values()].map(({ control }) => control.acted.length);
   t.deepEqual(acted, [1, 1]);
 });
 
-test('engines are given no orders where the document has none', async (t) => {
+test('engines receive no orders if the document specifies none', async (t) => {
   await using fleet = await createLocalFleet({ document: documentWith(''), instances: 2 });
   await fleet.clock.advance(30_000);
-  t.deepEqual(versions(fleet), [undefined, undefined]);
+  t.deepEqual(loadedVersions(fleet), [undefined, undefined]);
   t.is(fleet.platform.objects().filter(({ key }) => key.startsWith('orders/')).length, 0);
 });
 
-// The instance that orders the engines is lost without a word, and an engine restarts empty. Another
-// contender must notice both, after the old lease and the skew, and load the model again.
-test('another instance orders the engines when the holder is lost', async (t) => {
+// Guards against engines without orders after the instance that gives them is lost without notice, and
+// an engine restarts without a model. Another instance must detect both, once the lease and the clock
+// skew have passed, and load the model again.
+test('another instance gives orders to the engines when the lease holder is lost', async (t) => {
   await using fleet = await createLocalFleet({ document: documentWith(holds), instances: 5 });
   await fleet.clock.advance(30_000);
-  const [holder] = givers(fleet);
+  const [holder] = orderingInstances(fleet);
   const lost = fleet.instances.find(({ id }) => id === holder);
-  if (lost === undefined) throw new Error('nobody held the lease');
+  if (lost === undefined) throw new Error('no instance held the lease');
   lost.store.link.isDown = true;
   fleet.platform.removeInstance(lost.id);
-  // It still reaches the engines, but has no right to order them any more after its lease.
+  // It still reaches the engines, but must not give orders after its lease has expired.
   await fleet.clock.advance(20_000);
   const [engine] = [...fleet.clients.engines.values()];
   engine?.control.restart();
   await fleet.clock.advance(60_000);
-  t.deepEqual(versions(fleet), ['v2', 'v2']);
-  t.is(givers(fleet).length, 2);
+  t.deepEqual(loadedVersions(fleet), ['v2', 'v2']);
+  t.is(orderingInstances(fleet).length, 2);
 });
--- a/packages/standins/src/failures/fleet/test.ts
+++ b/packages/standins/src/failures/fleet/test.ts
@@ -1,178 +1,185 @@
 /**
- * Whom instances name and count while others fail and while the store does.
+ * Which other instances an instance lists to callers and counts, while instances or the store fail.
  */
 import test from 'ava';
 import type { InstanceId } from '@acaciacrank/base';
-import { FleetWorld } from '../../_lib/fleetWorld/index.js';
+import { FleetSimulation } from '../../_lib/FleetSimulation/index.js';
 
-/** By then nobody names an instance that went off, in milliseconds. */
-const goneMs = 6_000;
-/** By then everybody names an instance that came back, in milliseconds. */
-const backMs = 4_000;
+/** Time after which no instance lists one that lost power, in milliseconds. */
+const removalDeadlineMs = 6_000;
+/** Time after which every instance lists one that returned, in milliseconds. */
+const returnDeadlineMs = 4_000;
 const ids = ['a', 'b', 'c', 'd', 'e'];
 const seeds = [1, 2, 3, 4, 5, 6];
 
-async function open(seed: number): Promise<FleetWorld> {
-  const world = new FleetWorld(seed, ids);
-  await world.clock.advance(5_000);
-  return world;
+async function setUp(seed: number): Promise<FleetSimulation> {
+  const simulation = new FleetSimulation(seed, ids);
+  await simulation.clock.advance(5_000);
+  return simulation;
 }
 
-/** What the store does while something happens to an instance. */
+/** The state of the store while an instance fails. */
 const storeStates = {
-  well: () => undefined,
-  away: (world: FleetWorld) => {
-    world.turnAway(ids);
+  available: () => undefined,
+  unavailable: (simulation: FleetSimulation) => {
+    simulation.setStoreUnavailable(ids);
   },
-  'turning two away': (world: FleetWorld) => {
-    world.turnAway(['a', 'b']);
+  'unavailable to two instances': (simulation: FleetSimulation) => {
+    simulation.setStoreUnavailable(['a', 'b']);
   },
 } as const;
 
-test('instances find each other, and one that leaves drops out at once', async (t) => {
-  const world = await open(1);
-  for (const id of ids) t.true(world.isNamedByAll(id), id);
-  world.nodes.get('b')?.fleet.leave();
-  await world.clock.advance(1_500);
-  t.false(world.isNamedByAny('b'));
-  t.false(world.nodes.get('a')?.fleet.liveInstances.includes('b' as InstanceId));
+test('instances list each other, and one that leaves is removed at once', async (t) => {
+  const simulation = await setUp(1);
+  for (const id of ids) t.true(simulation.isListedByAll(id), id);
+  simulation.nodes.get('b')?.fleet.leave();
+  await simulation.clock.advance(1_500);
+  t.false(simulation.isListedByAny('b'));
+  t.false(simulation.nodes.get('a')?.fleet.liveInstances.includes('b' as InstanceId));
 });
 
-for (const [state, begin] of Object.entries(storeStates)) {
-  // Guards against callers who are sent to an instance that lost power, whatever the store does.
-  test(`an instance that lost power is named no more, with the store ${state}`, async (t) => {
+for (const [state, applyStoreState] of Object.entries(storeStates)) {
+  // Guards against callers that are sent to an instance that lost power, in any state of the store.
+  test(`an instance that lost power is no longer listed, with the store ${state}`, async (t) => {
     for (const seed of seeds) {
-      const world = await open(seed);
-      begin(world);
-      world.powerOff('c');
-      await world.clock.advance(goneMs);
-      t.true(await world.always(() => !world.isNamedByAny('c'), 60_000), `seed ${seed}`);
+      const simulation = await setUp(seed);
+      applyStoreState(simulation);
+      simulation.powerOff('c');
+      await simulation.clock.advance(removalDeadlineMs);
+      t.true(
+        await simulation.holdsThroughout(() => !simulation.isListedByAny('c'), 60_000),
+        `seed ${seed}`,
+      );
     }
   });
 
-  // Guards against an instance that is gone for good and named by one that starts later, which finds
-  // it registered.
-  test(`an instance that starts names nobody who is gone, after the store was ${state}`, async (t) => {
+  // Guards against a lost instance that is listed by one that starts later and finds it registered in
+  // the store.
+  test(`an instance that starts does not list a lost one, after the store was ${state}`, async (t) => {
     for (const seed of seeds) {
-      const world = await open(seed);
-      world.powerOff('c');
-      begin(world);
-      await world.clock.advance(20_000);
-      world.powerOff('d');
-      await world.clock.advance(1_000);
-      world.turnAway(ids, false);
-      world.start('d');
-      t.true(await world.always(() => !world.namedBy('d').includes('c'), 30_000), `seed ${seed}`);
+      const simulation = await setUp(seed);
+      simulation.powerOff('c');
+      applyStoreState(simulation);
+      await simulation.clock.advance(20_000);
+      simulation.powerOff('d');
+      await simulation.clock.advance(1_000);
+      simulation.setStoreUnavailable(ids, false);
+      simulation.start('d');
+      t.true(
+        await simulation.holdsThroughout(() => !simulation.listedBy('d').includes('c'), 30_000),
+        `seed ${seed}`,
+      );
     }
   });
 
-  // Guards against an instance that is left out though it serves, while the store cannot be told so.
-  test(`instances that live stay named, with the store ${state}`, async (t) => {
+  // Guards against removing an instance that serves while it cannot renew its registration in the store.
+  test(`running instances stay listed, with the store ${state}`, async (t) => {
     for (const seed of seeds) {
-      const world = await open(seed);
-      begin(world);
-      const isWhole = () => ids.every((id) => world.isNamedByAll(id));
-      t.true(await world.always(isWhole, 60_000), `seed ${seed}`);
+      const simulation = await setUp(seed);
+      applyStoreState(simulation);
+      const isComplete = () => ids.every((id) => simulation.isListedByAll(id));
+      t.true(await simulation.holdsThroughout(isComplete, 60_000), `seed ${seed}`);
     }
   });
 
-  // Guards against an instance that stays left out after it was frozen or cut off for a while.
-  test(`an instance that was out of reach is named again, with the store ${state}`, async (t) => {
+  // Guards against an instance that is not listed again after it was suspended or isolated for a while.
+  test(`an instance that was isolated is listed again, with the store ${state}`, async (t) => {
     for (const seed of seeds) {
-      const world = await open(seed);
-      begin(world);
-      world.network.isolate('c');
-      await world.clock.advance(20_000);
-      t.false(world.isNamedByAny('c'));
-      world.network.isolate('c', false);
-      await world.clock.advance(backMs);
-      t.true(world.isNamedByAll('c'), `seed ${seed}`);
+      const simulation = await setUp(seed);
+      applyStoreState(simulation);
+      simulation.network.isolate('c');
+      await simulation.clock.advance(20_000);
+      t.false(simulation.isListedByAny('c'));
+      simulation.network.isolate('c', false);
+      await simulation.clock.advance(returnDeadlineMs);
+      t.true(simulation.isListedByAll('c'), `seed ${seed}`);
     }
   });
 }
 
-// Guards against a process that was killed and takes long to be named again.
-test('an instance that starts again under its id is soon named', async (t) => {
+// Guards against a crashed process that is listed again only long after its restart.
+test('an instance that restarts with the same id is soon listed', async (t) => {
   for (const seed of seeds) {
-    const world = await open(seed);
-    world.powerOff('c');
-    await world.clock.advance(1_000);
-    world.start('c');
-    await world.clock.advance(backMs);
-    t.true(world.isNamedByAll('c'), `seed ${seed}`);
-    t.is(world.namedBy('c').length, ids.length - 1);
+    const simulation = await setUp(seed);
+    simulation.powerOff('c');
+    await simulation.clock.advance(1_000);
+    simulation.start('c');
+    await simulation.clock.advance(returnDeadlineMs);
+    t.true(simulation.isListedByAll('c'), `seed ${seed}`);
+    t.is(simulation.listedBy('c').length, ids.length - 1);
   }
 });
 
-// Guards against a machine whose clock was set back over a planned restart: its new run would stay
-// the one that left.
-test('an instance that left and starts with its clock set back is soon named', async (t) => {
-  const world = await open(1);
-  world.nodes.get('c')?.fleet.leave();
-  await world.clock.advance(500);
-  await world.nodes.get('c')?.fleet.end();
-  await world.clock.advance(500);
-  world.powerOff('c');
-  world.clock.jumpWall(-5_000);
-  world.start('c');
-  await world.clock.advance(backMs);
-  t.true(world.isNamedByAll('c'));
+// Guards against a new process run that is taken for the previous one, which left: the clock of the
+// machine was set back during a planned restart.
+test('an instance that left and restarts with its clock set back is soon listed', async (t) => {
+  const simulation = await setUp(1);
+  simulation.nodes.get('c')?.fleet.leave();
+  await simulation.clock.advance(500);
+  await simulation.nodes.get('c')?.fleet.end();
+  await simulation.clock.advance(500);
+  simulation.powerOff('c');
+  simulation.clock.jumpWall(-5_000);
+  simulation.start('c');
+  await simulation.clock.advance(returnDeadlineMs);
+  t.true(simulation.isListedByAll('c'));
 });
 
-// Guards against callers who are sent to a process that has no configuration yet.
-test('an instance that does not serve yet is not named', async (t) => {
-  const world = await open(1);
-  world.powerOff('c');
-  const { fleet } = world.start('c', false);
-  t.true(await world.always(() => !world.isNamedByAny('c'), 8_000));
+// Guards against callers that are sent to a process that has no configuration yet.
+test('an instance that does not serve yet is not listed', async (t) => {
+  const simulation = await setUp(1);
+  simulation.powerOff('c');
+  const { fleet } = simulation.start('c', false);
+  t.true(await simulation.holdsThroughout(() => !simulation.isListedByAny('c'), 8_000));
   fleet.serve();
-  await world.clock.advance(1_500);
-  t.true(world.isNamedByAll('c'));
+  await simulation.clock.advance(1_500);
+  t.true(simulation.isListedByAll('c'));
 });
 
-// Guards against an instance that acts on an old configuration for as long as the store turns it away.
-test('an instance that the store turns away learns of a configuration from a peer', async (t) => {
+// Guards against an instance that keeps an old configuration for as long as it cannot reach the store.
+test('an instance without the store receives a configuration from a peer', async (t) => {
   for (const seed of seeds) {
-    const world = await open(seed);
-    world.turnAway(['a', 'b']);
-    for (const id of ['c', 'd', 'e']) world.nodes.get(id)?.versions.push(2);
-    await world.clock.advance(2_000);
-    t.deepEqual(world.nodes.get('a')?.versions, [1, 2], `seed ${seed}`);
-    t.deepEqual(world.nodes.get('b')?.versions, [1, 2], `seed ${seed}`);
+    const simulation = await setUp(seed);
+    simulation.setStoreUnavailable(['a', 'b']);
+    for (const id of ['c', 'd', 'e']) simulation.nodes.get(id)?.versions.push(2);
+    await simulation.clock.advance(2_000);
+    t.deepEqual(simulation.nodes.get('a')?.versions, [1, 2], `seed ${seed}`);
+    t.deepEqual(simulation.nodes.get('b')?.versions, [1, 2], `seed ${seed}`);
   }
 });
 
 // Guards against every instance fetching each version twice, from the store and from a peer.
-test('an instance that the store answers asks no peer for configurations', async (t) => {
-  const world = await open(1);
-  world.nodes.get('a')?.versions.push(2);
-  await world.clock.advance(5_000);
-  t.deepEqual(world.nodes.get('b')?.versions, [1]);
-  t.is(world.nodes.get('b')?.metrics.counter('configurationsFromPeers'), 0);
+test('an instance that reaches the store requests no configuration from a peer', async (t) => {
+  const simulation = await setUp(1);
+  simulation.nodes.get('a')?.versions.push(2);
+  await simulation.clock.advance(5_000);
+  t.deepEqual(simulation.nodes.get('b')?.versions, [1]);
+  t.is(simulation.nodes.get('b')?.metrics.counter('configurationsFromPeers'), 0);
 });
 
-// Guards against the two sides of a cut that each repeat as if the other were gone.
-test('who may live beyond a cut keeps its share', async (t) => {
-  const world = await open(1);
-  world.turnAway(ids);
-  world.network.partition(['a', 'b'], ['c', 'd', 'e']);
-  await world.clock.advance(30_000);
-  t.deepEqual(world.namedBy('a'), ['b']);
-  for (const id of ids) t.is(world.nodes.get(id)?.fleet.sharingInstanceCount, ids.length, id);
+// Guards against the two sides of a network partition that each retry as if the other were lost.
+test('an instance that may still run beyond a partition keeps its share', async (t) => {
+  const simulation = await setUp(1);
+  simulation.setStoreUnavailable(ids);
+  simulation.network.partition(['a', 'b'], ['c', 'd', 'e']);
+  await simulation.clock.advance(30_000);
+  t.deepEqual(simulation.listedBy('a'), ['b']);
+  for (const id of ids) t.is(simulation.nodes.get(id)?.fleet.sharingInstanceCount, ids.length, id);
 });
 
-// Guards against the share of an instance that is gone for good lying unused.
-test('who is gone loses its share, once nothing says any more that it lives', async (t) => {
-  const world = await open(1);
-  world.powerOff('c');
-  await world.clock.advance(2_000);
-  t.is(world.nodes.get('a')?.fleet.sharingInstanceCount, ids.length);
-  await world.clock.advance(16_000);
-  for (const id of world.nodes.keys()) t.is(world.nodes.get(id)?.fleet.sharingInstanceCount, 4, id);
+// Guards against the share of a lost instance that stays unused.
+test('a lost instance loses its share once nothing reports it as running any more', async (t) => {
+  const simulation = await setUp(1);
+  simulation.powerOff('c');
+  await simulation.clock.advance(2_000);
+  t.is(simulation.nodes.get('a')?.fleet.sharingInstanceCount, ids.length);
+  await simulation.clock.advance(16_000);
+  for (const id of simulation.nodes.keys())
+    t.is(simulation.nodes.get(id)?.fleet.sharingInstanceCount, 4, id);
 });
 
-// Guards against an instance that takes the whole of what all share before it knows of the others.
-test('an instance that has not read the list yet takes no share', (t) => {
-  const world = new FleetWorld(1, []);
-  t.is(world.start('a').fleet.sharingInstanceCount, Infinity);
+// Guards against an instance that uses all of a shared limit before it has discovered the others.
+test('an instance that has not read the list yet uses no share', (t) => {
+  const simulation = new FleetSimulation(1, []);
+  t.is(simulation.start('a').fleet.sharingInstanceCount, Infinity);
 });
--- a/packages/standins/src/failures/ledger/test.ts
+++ b/packages/standins/src/failures/ledger/test.ts
@@ -1,6 +1,6 @@
 /**
- * Random orders of reservations, bills, lost answers, crashes and partitions against a plain
- * reference of what a budget may do.
+ * Property-based test: random sequences of reservations, bills, lost responses, crashes and network
+ * partitions, checked against a reference model of a budget.
  */
 import test from 'ava';
 import {
@@ -92,11 +92,11 @@
   },
 );
 
-/** What a budget may do, without instances, grants or faults. */
+/** Reference model of a budget, without instances, grants or faults. */
 class ReferenceBudget {
   prepaidTokens = budget.openingTokens;
   readonly #topUps = new Set<number>();
-  /** For each key the amounts that an attempt asked to bill; one of them, at most, may stand. */
+  /** Per request key, the amounts that its attempts tried to bill; at most one of them may be billed. */
   readonly attempts = new Map<string, number[]>();
 
   topUp(id: number, tokens: number): void {
@@ -109,7 +109,7 @@
   }
 }
 
-/** Checks the page at every version that is written. */
+/** A platform that checks every version of the page when it is written. */
 class CheckedPlatform extends MemoryPlatform {
   readonly violations: string[] = [];
   readonly #reference: ReferenceBudget;
@@ -132,22 +132,23 @@
     if (page.settledTokens + grantedTokens > this.#reference.prepaidTokens) {
       this.violations.push(`${page.settledTokens} settled and ${grantedTokens} granted`);
     }
-    if (billedTokens !== page.settledTokens) this.violations.push('settled is not what was billed');
+    if (billedTokens !== page.settledTokens)
+      this.violations.push('settled tokens differ from billed tokens');
   }
 }
 
-interface Open {
+interface OpenRequest {
   readonly number: number;
   readonly ledger: BudgetLedger;
   readonly reservation: Reservation;
   readonly sinceMs: number;
   isSettling: boolean;
   heldTokens: number;
-  /** Released, or billed for good. */
+  /** Whether the reservation was released or its bill was written. */
   isEnded: boolean;
 }
 
-/** Instances, platform and reference of one run. */
+/** Instances, platform and reference model of one sequence of actions. */
 class Run {
   readonly clock = new ManualClock();
   readonly reference = new ReferenceBudget();
@@ -155,14 +156,14 @@
   readonly #makePolicy: () => GrantPolicy;
   readonly #network = new LocalGrantNetwork({
     clock: this.clock,
-    isConnected: () => this.#areLinked,
+    isConnected: () => this.#areLinksUp,
   });
   readonly #instances: { store: MemoryObjectStore; ledger: BudgetLedger }[] = [];
-  readonly #open: Open[] = [];
-  #areLinked = true;
-  #started = 0;
-  #requests = 0;
-  readonly late: string[] = [];
+  readonly #openRequests: OpenRequest[] = [];
+  #areLinksUp = true;
+  #startedCount = 0;
+  #requestCount = 0;
+  readonly violations: string[] = [];
 
   constructor(makePolicy: () => GrantPolicy) {
     this.#makePolicy = makePolicy;
@@ -170,14 +171,14 @@
   }
 
   start(): { store: MemoryObjectStore; ledger: BudgetLedger } {
-    this.#started += 1;
+    this.#startedCount += 1;
     const store = new MemoryObjectStore(this.platform, this.clock);
     store.link.delayMs = 2;
-    const instanceId = `i${this.#started}` as InstanceId;
+    const instanceId = `i${this.#startedCount}` as InstanceId;
     const ledger = new BudgetLedger({
       store,
       clock: this.clock,
-      random: createRandom(this.#started),
+      random: createRandom(this.#startedCount),
       instanceId,
       incarnation: '1',
       policy: this.#makePolicy(),
@@ -190,33 +191,33 @@
     return { store, ledger };
   }
 
-  async do(step: Action): Promise<void> {
-    this.#begin(step);
+  async perform(step: Action): Promise<void> {
+    this.#start(step);
     await this.clock.advance(step.kind === 'wait' ? step.ms : 1);
   }
 
-  /** Everything heals, every bill is written, and all grants run out. */
+  /** Repairs all links, waits for bills to be written, stops the instances, and lets all grants expire. */
   async end(): Promise<void> {
-    this.#areLinked = true;
+    this.#areLinksUp = true;
     for (const { store } of this.#instances) store.link.isDown = false;
     await this.clock.advance(60_000);
     for (const { ledger } of this.#instances) ledger[Symbol.dispose]();
     await this.clock.advance(grantLifetimeMs + longestRequestMs + maxSkewMs + 60_000);
   }
 
-  #begin(step: Action): void {
+  #start(step: Action): void {
     switch (step.kind) {
       case 'reserve':
         void this.#reserve(step.at, step.tokens);
         return;
       case 'settle':
-        void this.#settle(this.#picked(step.pick), step.share);
+        void this.#settle(this.#selectUnsettled(step.pick), step.share);
         return;
       case 'settleElsewhere':
         void this.#settleElsewhere(step.pick, step.at);
         return;
       case 'release':
-        this.#release(this.#picked(step.pick));
+        this.#release(this.#selectUnsettled(step.pick));
         return;
       case 'topUp':
         this.reference.topUp(step.id, step.tokens);
@@ -230,16 +231,16 @@
         return;
       case 'cutLinks':
       case 'healLinks':
-        this.#areLinked = step.kind === 'healLinks';
+        this.#areLinksUp = step.kind === 'healLinks';
         return;
       case 'wait':
         return;
       default:
-        this.#breakInstance(step);
+        this.#applyFault(step);
     }
   }
 
-  #breakInstance(step: Extract<Action, { at: number }>): void {
+  #applyFault(step: Extract<Action, { at: number }>): void {
     const instance = this.#instances[step.at];
     if (instance === undefined) return;
     const { link } = instance.store;
@@ -256,10 +257,10 @@
     if (ledger === undefined) return;
     const reservation = await ledger.reserve(budget, tokens).catch(() => undefined);
     if (reservation === undefined) return;
-    this.#requests += 1;
+    this.#requestCount += 1;
     const sinceMs = this.clock.monotonicMs();
-    this.#open.push({
-      number: this.#requests,
+    this.#openRequests.push({
+      number: this.#requestCount,
       ledger,
       reservation,
       sinceMs,
@@ -267,52 +268,52 @@
       heldTokens: tokens,
       isEnded: false,
     });
-    this.#checkPromises();
+    this.#checkCommitments();
   }
 
   /**
-   * What is billed and what is promised to running requests is never more than was prepaid; a
-   * request of an instance that is gone counts until its grant returns to the budget.
+   * Checks that billed tokens and tokens reserved for running requests never exceed the prepaid ones.
+   * A request of a crashed instance counts until its grant has returned to the budget.
    */
-  #checkPromises(): void {
+  #checkCommitments(): void {
     const nowMs = this.clock.monotonicMs();
-    const running = this.#open.filter(
+    const running = this.#openRequests.filter(
       (open) => !open.isEnded && nowMs - open.sinceMs < longestRequestMs,
     );
-    const promisedTokens = sum(running.map((open) => open.heldTokens));
+    const committedTokens = sum(running.map((open) => open.heldTokens));
     const stored = this.platform.read(pageKeyOf(budget));
     const settledTokens = parsePage('', stored?.value).budgets.b?.settledTokens ?? 0;
-    if (settledTokens + promisedTokens <= this.reference.prepaidTokens) return;
-    this.late.push(`${settledTokens} settled and ${promisedTokens} promised`);
+    if (settledTokens + committedTokens <= this.reference.prepaidTokens) return;
+    this.violations.push(`${settledTokens} settled and ${committedTokens} reserved`);
   }
 
-  #picked(number: number): Open | undefined {
-    return this.#open.filter((open) => !open.isSettling)[number];
+  #selectUnsettled(number: number): OpenRequest | undefined {
+    return this.#openRequests.filter((open) => !open.isSettling)[number];
   }
 
-  #release(open: Open | undefined): void {
+  #release(open: OpenRequest | undefined): void {
     if (open === undefined) return;
     open.isSettling = true;
     open.isEnded = true;
     open.ledger.release(open.reservation);
   }
 
-  async #settle(open: Open | undefined, share: number): Promise<void> {
+  async #settle(open: OpenRequest | undefined, share: number): Promise<void> {
     if (open === undefined) return;
     open.isSettling = true;
     const tokens = Math.round(open.reservation.tokens * share);
-    // The bill may be in the page before its answer is here.
+    // The bill may be in the page before its response arrives.
     open.heldTokens = 0;
     const bill = await this.#bill(open.ledger, open.reservation, open.number, tokens);
     open.isEnded = true;
-    // The bill must be whole while the grant cannot have gone back to its budget yet.
+    // While the grant cannot have returned to its budget yet, the bill must cover all tokens.
     const isInTime = this.clock.monotonicMs() - open.sinceMs < longestRequestMs;
-    if (isInTime && bill.unbillableTokens > 0) this.late.push(`k${open.number}`);
+    if (isInTime && bill.unbillableTokens > 0) this.violations.push(`k${open.number}`);
   }
 
-  /** A caller retried at another instance while the first one still worked: one key, two bills. */
+  /** Bills the same key at another instance, as a retry does while the first attempt still runs. */
   async #settleElsewhere(number: number, index: number): Promise<void> {
-    const first = this.#picked(number);
+    const first = this.#selectUnsettled(number);
     const ledger = this.#instances[index]?.ledger;
     if (first === undefined || ledger === undefined) return;
     const { tokens } = first.reservation;
@@ -322,11 +323,11 @@
   }
 
   #bill(ledger: BudgetLedger, reservation: Reservation, number: number, tokens: number) {
-    this.#requests += 1;
+    this.#requestCount += 1;
     this.reference.attempt(`k${number}`, tokens);
     return ledger.settle(reservation, {
       requestKey: `k${number}` as RequestKey,
-      requestId: `r${this.#requests}` as RequestId,
+      requestId: `r${this.#requestCount}` as RequestId,
       bodyDigest: 'd',
       tokens,
     });
@@ -343,41 +344,42 @@
   demand: () => new DemandGrantPolicy(),
 };
 
-// An account would see itself charged beyond its budget or twice for one key, or tokens that it paid
-// for would never come back, after any order of requests, lost answers, crashes and partitions.
+// Guards against charges beyond a budget, two charges for one key, and prepaid tokens that are never
+// available again, after any sequence of requests, lost responses, crashes and network partitions.
 for (const [name, makePolicy] of Object.entries(policies)) {
-  test(`no order of faults overspends, bills twice or loses tokens: ${name}`, async (t) => {
+  test(`no sequence of faults overspends, bills twice or loses tokens: ${name}`, async (t) => {
     const property = fc.asyncProperty(
       fc.array(action, { minLength: 20, maxLength: 80 }),
       async (steps) => {
         const run = new Run(makePolicy);
-        for (const step of steps) await run.do(step);
+        for (const step of steps) await run.perform(step);
         await run.end();
-        const violations = [...run.platform.violations, ...run.late];
+        const violations = [...run.platform.violations, ...run.violations];
         if (violations.length > 0) throw new Error(violations.join('; '));
-        await checkEnd(run);
+        await assertFinalState(run);
       },
     );
     await t.notThrowsAsync(fc.assert(property, { seed: 20_260_101, numRuns: 40 }));
   });
 }
 
-/** Each bill is one that was asked for, and all that is not billed can be drawn again. */
-async function checkEnd(run: Run): Promise<void> {
+/** Asserts that no bill exceeds what was requested, and that exactly the unbilled tokens can be reserved. */
+async function assertFinalState(run: Run): Promise<void> {
   const stored = run.platform.read(pageKeyOf(budget));
   const bills = parsePage('', stored?.value).budgets.b?.bills ?? {};
   for (const [key, bill] of Object.entries(bills)) {
-    const asked = Math.max(...(run.reference.attempts.get(key) ?? [-1]));
-    if (bill.tokens > asked) throw new Error(`${key}: billed ${bill.tokens}, asked ${asked}`);
+    const maxRequestedTokens = Math.max(...(run.reference.attempts.get(key) ?? [-1]));
+    if (bill.tokens > maxRequestedTokens)
+      throw new Error(`${key}: billed ${bill.tokens}, requested ${maxRequestedTokens}`);
   }
   const spentTokens = sum(Object.values(bills).map((bill) => bill.tokens));
   const leftTokens = run.reference.prepaidTokens - spentTokens;
   const { ledger } = run.start();
   if (leftTokens > 0) await run.clock.runUntil(ledger.reserve(budget, leftTokens));
-  const beyond = run.clock.runUntil(ledger.reserve(budget, 1));
-  const isRefused = await beyond.then(
+  const extraReservation = run.clock.runUntil(ledger.reserve(budget, 1));
+  const isRefused = await extraReservation.then(
     () => false,
     () => true,
   );
-  if (!isRefused) throw new Error('a token beyond the budget was granted');
+  if (!isRefused) throw new Error('a token beyond the budget was reserved');
 }
--- a/packages/standins/src/failures/ledgerBounds/test.ts
+++ b/packages/standins/src/failures/ledgerBounds/test.ts
@@ -25,7 +25,7 @@
   openingTokens: 100_000,
 };
 
-function start(options: Partial<BudgetLedgerOptions> = {}) {
+function setUp(options: Partial<BudgetLedgerOptions> = {}) {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   const network = new LocalGrantNetwork({ clock });
@@ -54,18 +54,20 @@
   tokens,
 });
 
-// The store is down for minutes while streams end. Their bills wait; without a bound the process
-// would run out of memory and lose them all. New requests are refused as not run, the bills are
-// written once when the store is back.
-test('bills wait out a long outage in bounded memory and are written once', async (t) => {
-  const { clock, instance } = start({ maxOpenRequestsPerPage: 2, policy: new FixedGrantPolicy() });
+// Guards against a process that runs out of memory and loses all its bills. The store is down for
+// minutes while streams end, and their bills wait. New requests are refused as not run, and the bills
+// are written once when the store is available again.
+test('bills are kept in bounded memory during a long outage and are written once', async (t) => {
+  const { clock, instance } = setUp({ maxOpenRequestsPerPage: 2, policy: new FixedGrantPolicy() });
   const { store, ledger } = instance('i1');
   const held = [
     await clock.runUntil(ledger.reserve(budget, 100)),
     await clock.runUntil(ledger.reserve(budget, 100)),
   ];
   store.link.isDown = true;
-  const bills = held.map((one, index) => ledger.settle(one, request(`k${index}`, 60)));
+  const bills = held.map((reservation, index) =>
+    ledger.settle(reservation, request(`k${index}`, 60)),
+  );
   await clock.advance(240_000);
   const refused = await t.throwsAsync(clock.runUntil(ledger.reserve(budget, 1)));
   t.like(refused, { kind: 'overloaded', ran: 'notRun' });
@@ -80,10 +82,10 @@
   await t.notThrowsAsync(clock.runUntil(ledger.reserve(budget, 1)));
 });
 
-// A page fills with request keys that still protect against a second bill. Dropping one early would
-// bill its retry again; the page takes no new requests until old keys have ended.
-test('a page full of protecting keys refuses until they have ended', async (t) => {
-  const { clock, instance } = start({ maxKeysPerPage: 2, keyProtectionMs: 60_000 });
+// Guards against a retry that is billed again because its request key was dropped early. A page that
+// is full of protected request keys accepts no new requests until old keys have expired.
+test('a page full of protected request keys refuses requests until they expire', async (t) => {
+  const { clock, instance } = setUp({ maxKeysPerPage: 2, keyProtectionMs: 60_000 });
   const { store, ledger } = instance('i1');
   for (const name of ['k1', 'k2']) {
     const held = await clock.runUntil(ledger.reserve(budget, 10));
@@ -96,22 +98,23 @@
   await t.notThrowsAsync(clock.runUntil(ledger.reserve(budget, 10)));
 });
 
-// Two instances lose the store but not each other. One has tokens, the other has none: it asks, is
-// given a part of the other's grant, and bills it later without touching what the other spends.
+// Guards against overspending a shared grant. Two instances lose the store but not the link between
+// them. The one without tokens receives a part of the other's grant, and bills it later without using
+// tokens that the other one spends.
 test('instances that lost the store share a grant, and both bills fit into it', async (t) => {
-  const { clock, instance } = start({ policy: new FixedGrantPolicy(1_000) });
+  const { clock, instance } = setUp({ policy: new FixedGrantPolicy(1_000) });
   const [first, second] = [instance('i1'), instance('i2')];
-  const own = await clock.runUntil(first.ledger.reserve(budget, 300));
+  const ownReservation = await clock.runUntil(first.ledger.reserve(budget, 300));
   first.store.link.isDown = true;
   second.store.link.isDown = true;
-  const passed = await clock.runUntil(second.ledger.reserve(budget, 600));
+  const sharedReservation = await clock.runUntil(second.ledger.reserve(budget, 600));
   const refused = await t.throwsAsync(clock.runUntil(second.ledger.reserve(budget, 200)));
   t.like(refused, { kind: 'storeUnavailable', ran: 'notRun' });
   first.store.link.isDown = false;
   second.store.link.isDown = false;
   const bills = [
-    first.ledger.settle(own, request('k1', 300)),
-    second.ledger.settle(passed, request('k2', 600)),
+    first.ledger.settle(ownReservation, request('k1', 300)),
+    second.ledger.settle(sharedReservation, request('k2', 600)),
   ];
   const written = await clock.runUntil(Promise.all(bills));
   t.deepEqual(
@@ -121,25 +124,26 @@
   t.is((await readBudget(first.store, budget)).settledTokens, 900);
 });
 
-// An instance is frozen for half an hour with a request in hand; its grant has gone to others, who
-// used the budget up. Its bill takes what is left and the rest is counted, never charged.
-test('a bill after a long pause is charged as far as the budget reaches', async (t) => {
-  const { clock, instance } = start({ policy: new FixedGrantPolicy(100_000) });
+// Guards against charging beyond the budget. An instance is suspended for half an hour during a request;
+// its grant expires, and others use up the budget. The bill is charged what is left; the rest is
+// counted but not charged.
+test('a bill after a long pause is charged only what is left of the budget', async (t) => {
+  const { clock, instance } = setUp({ policy: new FixedGrantPolicy(100_000) });
   const [frozen, other] = [instance('i1'), instance('i2')];
-  const late = await clock.runUntil(frozen.ledger.reserve(budget, 500));
+  const lateReservation = await clock.runUntil(frozen.ledger.reserve(budget, 500));
   frozen.ledger[Symbol.dispose]();
   await clock.advance(1_800_000);
-  t.false(frozen.ledger.isSpendable(late));
+  t.false(frozen.ledger.isSpendable(lateReservation));
   const held = await clock.runUntil(other.ledger.reserve(budget, 99_800));
   await clock.runUntil(other.ledger.settle(held, request('k2', 99_800)));
   await clock.runUntil(other.ledger.closeAll());
-  const bill = await clock.runUntil(frozen.ledger.settle(late, request('k1', 500)));
+  const bill = await clock.runUntil(frozen.ledger.settle(lateReservation, request('k1', 500)));
   t.like(bill, { tokens: 200, unbillableTokens: 300 });
   t.is(frozen.ledger.counts.unbillableTokens, 300);
 });
 
-test('amounts that are no whole tokens, or absurd, are refused and nothing is written', async (t) => {
-  const { clock, instance } = start();
+test('amounts that are not positive whole numbers, or too large, are refused and nothing is written', async (t) => {
+  const { clock, instance } = setUp();
   const { store, ledger } = instance('i1');
   for (const tokens of [-1, 0, 1.5, NaN, Infinity, 2 ** 60]) {
     const topUp = topUpBudget(store, clock, budget, 't1', tokens);
--- a/packages/standins/src/failures/orders/test.ts
+++ b/packages/standins/src/failures/orders/test.ts
@@ -17,7 +17,7 @@
 const skewMs = 2_000;
 const roundMs = 5_000;
 
-/** A client whose orders wait, as those of a process that is paused just before it sends. */
+/** An engine client that holds orders back, as a process does that is paused just before it sends. */
 class PausingClient extends LocalEngineClient {
   isPaused = false;
   #resume: () => void = () => undefined;
@@ -37,8 +37,9 @@
   }
 }
 
+/** An instance that gives orders to the engines while it holds the lease. */
 interface Holder {
-  readonly keeper: OrderReconciler;
+  readonly reconciler: OrderReconciler;
   readonly lease: StoreLease;
   readonly metrics: Metrics;
   readonly store: MemoryObjectStore;
@@ -46,7 +47,8 @@
   version: string;
 }
 
-class Rig {
+/** Engines, a store, and instances that compete for the lease to give orders. */
+class OrderFixture {
   readonly clock = new ManualClock();
   readonly platform = new MemoryPlatform(this.clock);
   readonly engines: StandinEngine[];
@@ -61,7 +63,7 @@
     });
   }
 
-  /** One instance that wants every engine to hold `version` of the model. */
+  /** Creates an instance whose target is `version` of the model at every engine. */
   holder(name: string, version: string, changes: Partial<EngineTarget> = {}): Holder {
     const { clock } = this;
     const store = new MemoryObjectStore(this.platform, clock);
@@ -89,204 +91,209 @@
           ...changes,
         },
       }));
-    const keeper = createOrderReconciler(this.#checksFencing, {
+    const reconciler = createOrderReconciler(this.#checksFencing, {
       clock,
       metrics,
       lease,
       rate,
       engines,
     });
-    const holder: Holder = { keeper, lease, metrics, store, clients, version };
+    const holder: Holder = { reconciler, lease, metrics, store, clients, version };
     return holder;
   }
 
-  /** Runs rounds of the given instances, one after the other, as time passes. */
-  async rounds(count: number, ...holders: Holder[]): Promise<void> {
+  /** Runs rounds of the given instances, one after the other, and advances the clock after each. */
+  async runRounds(count: number, ...holders: Holder[]): Promise<void> {
     for (let round = 0; round < count; round += 1) {
-      for (const { keeper } of holders) await this.clock.runUntil(keeper.runRound());
+      for (const { reconciler } of holders) await this.clock.runUntil(reconciler.runRound());
       await this.clock.advance(roundMs);
     }
   }
 
-  versions(): (string | undefined)[] {
+  engineVersions(): (string | undefined)[] {
     return this.engines.map((engine) => engine.control.state().models[0]?.version);
   }
 }
 
-/** Enough rounds to wait out another instance's lease and skew. */
+/** Enough rounds for another instance's lease and the clock skew to pass. */
 const takeOverRounds = 6;
 
-// Operators put version 2 in force. The old holder was paused just before it sent an order for
-// version 1, woke after its lease had passed, and sent it: engines would serve the old version again.
-// An engine that checks refuses the old number, and the old holder stops at once.
+// Guards against engines that serve an old version again. Version 2 is in force; the previous holder
+// was paused just before it sent an order for version 1, and sends it after its lease has expired. An
+// engine that checks fencing numbers refuses the old number, and the previous holder stops at once.
 test('a checking engine refuses the order of a holder that was paused past its lease', async (t) => {
-  const rig = new Rig(true);
-  const old = rig.holder('i1', '1');
-  const next = rig.holder('i2', '2');
-  const [client] = old.clients as [PausingClient];
-  await rig.rounds(1, old, next);
+  const fixture = new OrderFixture(true);
+  const previous = fixture.holder('i1', '1');
+  const successor = fixture.holder('i2', '2');
+  const [client] = previous.clients as [PausingClient];
+  await fixture.runRounds(1, previous, successor);
   client.isPaused = true;
-  const stale = old.keeper.runRound();
-  await rig.clock.advance(roundMs);
-  await rig.rounds(takeOverRounds, next);
-  t.deepEqual(rig.versions(), ['2']);
+  const staleRound = previous.reconciler.runRound();
+  await fixture.clock.advance(roundMs);
+  await fixture.runRounds(takeOverRounds, successor);
+  t.deepEqual(fixture.engineVersions(), ['2']);
   client.resumeProcess();
-  await rig.clock.runUntil(stale);
-  t.deepEqual(rig.versions(), ['2']);
-  t.is(rig.engines[0]?.control.refused.length, 1);
-  t.is(old.lease.fencingNumber, undefined);
+  await fixture.clock.runUntil(staleRound);
+  t.deepEqual(fixture.engineVersions(), ['2']);
+  t.is(fixture.engines[0]?.control.refused.length, 1);
+  t.is(previous.lease.fencingNumber, undefined);
 });
 
-// The same, with an engine that ignores the number: the late order takes effect, and trainees are
-// answered by the old version. The next round sees it and puts it right; the old holder gives no more.
-test('what a paused holder does to an ignoring engine is put right in the next round', async (t) => {
-  const rig = new Rig(false);
-  const old = rig.holder('i1', '1');
-  const next = rig.holder('i2', '2');
-  const [client] = old.clients as [PausingClient];
-  await rig.rounds(1, old, next);
+// As above, with an engine that ignores fencing numbers: the late order takes effect, and requests are
+// served by the old version. The next round detects and corrects it; the previous holder gives no more
+// orders.
+test('a late order to an engine that does not check fencing is corrected in the next round', async (t) => {
+  const fixture = new OrderFixture(false);
+  const previous = fixture.holder('i1', '1');
+  const successor = fixture.holder('i2', '2');
+  const [client] = previous.clients as [PausingClient];
+  await fixture.runRounds(1, previous, successor);
   client.isPaused = true;
-  const stale = old.keeper.runRound();
-  await rig.clock.advance(roundMs);
-  await rig.rounds(takeOverRounds, next);
+  const staleRound = previous.reconciler.runRound();
+  await fixture.clock.advance(roundMs);
+  await fixture.runRounds(takeOverRounds, successor);
   client.resumeProcess();
-  await rig.clock.runUntil(stale);
-  t.deepEqual(rig.versions(), ['1']);
-  await rig.rounds(2, next, old);
-  t.deepEqual(rig.versions(), ['2']);
-  await rig.rounds(6, next, old);
-  t.is(rig.engines[0]?.control.acted.at(-1)?.order.kind, 'loadModel');
-  t.is(rig.engines[0]?.control.acted.length, 3);
+  await fixture.clock.runUntil(staleRound);
+  t.deepEqual(fixture.engineVersions(), ['1']);
+  await fixture.runRounds(2, successor, previous);
+  t.deepEqual(fixture.engineVersions(), ['2']);
+  await fixture.runRounds(6, successor, previous);
+  t.is(fixture.engines[0]?.control.acted.at(-1)?.order.kind, 'loadModel');
+  t.is(fixture.engines[0]?.control.acted.length, 3);
 });
 
-// A holder that was paused between two rounds wakes with orders to give. It looks at its lease first,
-// by a clock that the pause did not stop, and gives none.
-test('a holder that wakes after its lease gives no order before it holds it again', async (t) => {
+// Guards against orders after the lease has expired. A holder was paused between two rounds and resumes
+// with orders to give. It checks its lease first, by a clock that ran on during the pause.
+test('a holder that resumes after its lease expired gives no order until it holds it again', async (t) => {
   for (const checksFencing of [true, false]) {
-    const rig = new Rig(checksFencing);
-    const old = rig.holder('i1', '1');
-    const next = rig.holder('i2', '2');
-    await rig.rounds(2, old, next);
-    await rig.rounds(takeOverRounds, next);
-    const before = rig.engines[0]?.control.acted.length;
-    await rig.rounds(3, old);
-    t.is(rig.engines[0]?.control.acted.length, before);
-    t.deepEqual(rig.versions(), ['2']);
+    const fixture = new OrderFixture(checksFencing);
+    const previous = fixture.holder('i1', '1');
+    const successor = fixture.holder('i2', '2');
+    await fixture.runRounds(2, previous, successor);
+    await fixture.runRounds(takeOverRounds, successor);
+    const before = fixture.engines[0]?.control.acted.length;
+    await fixture.runRounds(3, previous);
+    t.is(fixture.engines[0]?.control.acted.length, before);
+    t.deepEqual(fixture.engineVersions(), ['2']);
   }
 });
 
-// Two instances start at the same moment, each for its own version. Engines that ignore the number
-// would be loaded to and fro, and the weight store's rate used up.
-test('of two instances that start together one gives orders', async (t) => {
-  const rig = new Rig(false);
-  const one = rig.holder('i1', '1');
-  const two = rig.holder('i2', '2');
+// Guards against two instances that load different versions in turn, which also uses up the rate limit
+// of the weight store. They start at the same time, with engines that ignore fencing numbers.
+test('of two instances that start together only one gives orders', async (t) => {
+  const fixture = new OrderFixture(false);
+  const first = fixture.holder('i1', '1');
+  const second = fixture.holder('i2', '2');
   for (let round = 0; round < 12; round += 1) {
-    const both = Promise.all([one.keeper.runRound(), two.keeper.runRound()]);
-    await rig.clock.runUntil(both);
-    const held = [one, two].filter(({ lease }) => lease.remainingMs > 0);
+    const rounds = Promise.all([first.reconciler.runRound(), second.reconciler.runRound()]);
+    await fixture.clock.runUntil(rounds);
+    const held = [first, second].filter(({ lease }) => lease.remainingMs > 0);
     t.is(held.length, 1);
-    await rig.clock.advance(roundMs);
+    await fixture.clock.advance(roundMs);
   }
-  t.is(rig.engines[0]?.control.acted.length, 1);
+  t.is(fixture.engines[0]?.control.acted.length, 1);
 });
 
-// The store takes the lease's write but its answer is lost; then an engine takes an order but its
-// answer is lost. Neither is done twice: the lease is known by its nonce, the order by what is held.
-test('lost answers of the store and of an engine repeat nothing', async (t) => {
-  const rig = new Rig(true);
-  const holder = rig.holder('i1', '1');
+// Guards against a second lease or a second order after a lost response. The store writes the lease and
+// an engine executes an order, but both responses are lost. The lease is recognized by its nonce, the
+// order by the engine's state.
+test('lost responses of the store and of an engine cause no repetition', async (t) => {
+  const fixture = new OrderFixture(true);
+  const holder = fixture.holder('i1', '1');
   holder.store.link.answersToLose = 1;
-  const control = rig.engines[0]?.control;
+  const control = fixture.engines[0]?.control;
   if (control !== undefined) control.answersToLose = 1;
-  await rig.rounds(4, holder);
+  await fixture.runRounds(4, holder);
   t.is(holder.lease.fencingNumber, 4);
   t.is(holder.metrics.counter('ordersFailed'), 1);
   t.is(control?.acted.length, 1);
-  t.deepEqual(rig.versions(), ['1']);
+  t.deepEqual(fixture.engineVersions(), ['1']);
 });
 
-// The store is away. The holder cannot renew its lease and must not order past its end; for engines
-// that ignore the number it stops earlier, by the time that an order may still be under way.
-test('without the store a holder stops before its lease ends', async (t) => {
-  for (const [checksFencing, stopsMs] of [
+// Guards against orders after the lease has expired while the store is unavailable and the lease cannot
+// be renewed. With engines that ignore fencing numbers the holder stops earlier, by the time that an
+// order may be in transit.
+test('without the store a holder stops before its lease expires', async (t) => {
+  for (const [checksFencing, expectedStopMs] of [
     [true, leaseMs],
     [false, leaseMs - 4_000],
   ] as const) {
-    const rig = new Rig(checksFencing);
-    const holder = rig.holder('i1', '0');
-    await rig.clock.runUntil(holder.keeper.runRound());
+    const fixture = new OrderFixture(checksFencing);
+    const holder = fixture.holder('i1', '0');
+    await fixture.clock.runUntil(holder.reconciler.runRound());
     holder.store.link.isDown = true;
     let lastOrderMs = 0;
     for (let atMs = 1_000; atMs <= 2 * leaseMs; atMs += 1_000) {
-      await rig.clock.advance(1_000);
-      // A new target in each second: whatever may be ordered is.
+      await fixture.clock.advance(1_000);
+      // A new target every second, so that an order is due in each round.
       holder.version = String(atMs);
-      await rig.clock.runUntil(holder.keeper.runRound());
-      if (rig.versions()[0] === holder.version) lastOrderMs = atMs;
+      await fixture.clock.runUntil(holder.reconciler.runRound());
+      if (fixture.engineVersions()[0] === holder.version) lastOrderMs = atMs;
     }
-    t.is(lastOrderMs, stopsMs - 1_000);
+    t.is(lastOrderMs, expectedStopMs - 1_000);
   }
 });
 
-// A new version goes to twelve engines at once, and the holder dies in the middle. The weight store
-// would refuse a second burst; its rate holds over both holders.
+// Guards against a second burst of loads, which the weight store would refuse, after the holder
+// crashes while twelve engines load a new version. Both holders together keep to the rate limit.
 test("loads stay within the weight store's rate, also when the holder changes", async (t) => {
-  const rig = new Rig(true, 12);
-  const one = rig.holder('i1', '1');
-  const two = rig.holder('i2', '1');
-  await rig.rounds(2, one, two);
-  const loads = () => rig.engines.reduce((sum, { control }) => sum + control.acted.length, 0);
-  const loadsBefore = loads();
-  while (two.lease.fencingNumber === undefined) {
-    await rig.clock.advance(roundMs);
-    await rig.clock.runUntil(two.keeper.runRound());
+  const fixture = new OrderFixture(true, 12);
+  const first = fixture.holder('i1', '1');
+  const second = fixture.holder('i2', '1');
+  await fixture.runRounds(2, first, second);
+  const countLoads = () =>
+    fixture.engines.reduce((sum, { control }) => sum + control.acted.length, 0);
+  const loadsBefore = countLoads();
+  while (second.lease.fencingNumber === undefined) {
+    await fixture.clock.advance(roundMs);
+    await fixture.clock.runUntil(second.reconciler.runRound());
   }
-  // The new holder has waited long enough to save up a burst, and does not use it.
-  t.is(loads(), loadsBefore);
-  await rig.rounds(8, two);
-  t.deepEqual(new Set(rig.versions()), new Set(['1']));
-  const times = rig.engines
+  // The new holder has waited long enough to accumulate a burst, and does not use it.
+  t.is(countLoads(), loadsBefore);
+  await fixture.runRounds(8, second);
+  t.deepEqual(new Set(fixture.engineVersions()), new Set(['1']));
+  const loadTimesMs = fixture.engines
     .flatMap(({ control }) => control.acted.map(({ atMs }) => atMs))
     .sort((a, b) => a - b);
-  t.is(times.length, 12);
-  for (const fromMs of times) {
-    const inMinute = times.filter((atMs) => atMs >= fromMs && atMs < fromMs + 10_000).length;
-    // 60 loads a minute are ten in ten seconds; besides them at most the burst of two.
-    t.true(inMinute <= 12);
+  t.is(loadTimesMs.length, 12);
+  for (const fromMs of loadTimesMs) {
+    const inWindow = loadTimesMs.filter((atMs) => atMs >= fromMs && atMs < fromMs + 10_000).length;
+    // 60 loads a minute are ten in ten seconds, plus a burst of at most two.
+    t.true(inWindow <= 12);
   }
-  for (const { control } of rig.engines) control.rateLimitedForMs = 30_000;
-  two.version = '2';
-  const startedMs = rig.clock.monotonicMs();
-  await rig.rounds(1, two);
-  for (const { control } of rig.engines) control.rateLimitedForMs = undefined;
-  await rig.rounds(12, two);
-  const again = rig.engines.flatMap(({ control }) => control.acted.slice(1));
-  t.true(again.every(({ atMs }) => atMs - startedMs >= 30_000));
-  t.deepEqual(new Set(rig.versions()), new Set(['2']));
+  for (const { control } of fixture.engines) control.rateLimitedForMs = 30_000;
+  second.version = '2';
+  const startedMs = fixture.clock.monotonicMs();
+  await fixture.runRounds(1, second);
+  for (const { control } of fixture.engines) control.rateLimitedForMs = undefined;
+  await fixture.runRounds(12, second);
+  const reloads = fixture.engines.flatMap(({ control }) => control.acted.slice(1));
+  t.true(reloads.every(({ atMs }) => atMs - startedMs >= 30_000));
+  t.deepEqual(new Set(fixture.engineVersions()), new Set(['2']));
 });
 
-// An engine leaves, and every conversation that it had cached is read again from its beginning
-// elsewhere. Where the engine offers it, its cache is handed over, once; others are not asked.
-test('an engine that leaves hands its cache over once, where it offers to', async (t) => {
+// Guards against losing the cache of an engine that leaves, after which other engines must prefill
+// every cached conversation from its start. An engine that offers the export is ordered to hand its
+// cache over, once; others are not.
+test('an engine that leaves hands its cache over once, if it offers the export', async (t) => {
   const kvReceiverId = 'e2' as UpstreamId;
   for (const offersKvExport of [true, false]) {
-    const rig = new Rig(true, 1, { offersKvExport });
-    const holder = rig.holder('i1', '1', { kvReceiverId });
-    await rig.rounds(3, holder);
+    const fixture = new OrderFixture(true, 1, { offersKvExport });
+    const holder = fixture.holder('i1', '1', { kvReceiverId });
+    await fixture.runRounds(3, holder);
     const exported = [{ kind: 'exportKv', receiverId: kvReceiverId }];
-    const orders = rig.engines[0]?.control.acted.map(({ order }) => order);
+    const orders = fixture.engines[0]?.control.acted.map(({ order }) => order);
     t.deepEqual(orders, (offersKvExport ? exported : []) as typeof orders);
   }
 });
 
-// A planned stop of the holder must not leave engines without orders for the length of a lease.
-test('a holder that stops lets the next one order at once, where engines check', async (t) => {
-  const rig = new Rig(true);
-  const one = rig.holder('i1', '1');
-  const two = rig.holder('i2', '2');
-  await rig.rounds(1, one, two);
-  await rig.clock.runUntil(one.keeper[Symbol.asyncDispose]());
-  await rig.rounds(2, two);
-  t.deepEqual(rig.versions(), ['2']);
+// Guards against engines that get no orders for the length of a lease after a planned stop of the holder.
+test('a holder that stops lets the next one give orders at once, if engines check fencing', async (t) => {
+  const fixture = new OrderFixture(true);
+  const first = fixture.holder('i1', '1');
+  const second = fixture.holder('i2', '2');
+  await fixture.runRounds(1, first, second);
+  await fixture.clock.runUntil(first.reconciler[Symbol.asyncDispose]());
+  await fixture.runRounds(2, second);
+  t.deepEqual(fixture.engineVersions(), ['2']);
 });
--- a/packages/standins/src/failures/prepaid/test.ts
+++ b/packages/standins/src/failures/prepaid/test.ts
@@ -3,223 +3,229 @@
 import { grantedTotal, parsePrepaidPage } from '@acaciacrank/ledger';
 import {
   accountId,
-  createWorld,
+  createSimulation,
   pageKey,
   spend,
   startHolder,
   type Holder,
-  type World,
-} from '../../_lib/prepaidWorld/index.js';
+  type PrepaidSimulation,
+} from '../../_lib/prepaidSimulation/index.js';
 
 function toggle(set: Set<string>, name: string): void {
   if (!set.delete(name)) set.add(name);
 }
 
-/** All that a holder has spent, and what it would spend without asking the store. */
-function mayStillSpend({ ledger, spentTokens }: Holder): number {
+/** What a holder has spent, plus what it may spend without a call to the store. */
+function maxTotalSpend({ ledger, spentTokens }: Holder): number {
   return spentTokens + Math.max(0, ledger.stockTokens(accountId));
 }
 
-function grantedInStore({ platform }: World): number {
+function grantedTokensInStore({ platform }: PrepaidSimulation): number {
   const page = parsePrepaidPage(platform.read(pageKey)?.value);
   return page === undefined ? 0 : grantedTotal(page);
 }
 
-// Instances are killed and started again, cut off from the store or from each other and back; the
-// answers of their writes are lost, or the writes come into effect seconds later; what they ask and
-// lend each other gets lost. An instance that believed a write that was never read back, that drew on
-// tokens it had given back or lent, or that took a loan twice, would let the client account spend
-// more than it prepaid.
+// Guards against a client account that spends more than it prepaid: through an instance that trusts a
+// write without reading it back, that spends tokens it has returned or lent, or that takes a loan twice.
+// Instances crash and restart, and lose and regain the store and their links; responses of writes are
+// lost, writes are applied seconds late, and messages between instances are lost.
 for (const seed of [1, 2, 3, 4, 5, 6, 7, 8]) {
-  test(`an account never spends more than it prepaid, whatever fails (seed ${seed})`, async (t) => {
-    const world = createWorld(seed, 2_000_000, 0.1);
+  test(`an account never spends more than it prepaid under any faults (seed ${seed})`, async (t) => {
+    const simulation = createSimulation(seed, 2_000_000, 0.1);
     const faults = { lost: 0.15, late: 0.15 };
-    const holders = [0, 1, 2, 3].map((instance) => startHolder(world, instance, faults));
+    const holders = [0, 1, 2, 3].map((instance) => startHolder(simulation, instance, faults));
     for (let step = 0; step < 1_500; step += 1) {
-      await world.clock.advance(20);
-      const index = Math.floor(world.random() * holders.length);
+      await simulation.clock.advance(20);
+      const index = Math.floor(simulation.random() * holders.length);
       const holder = holders[index];
       if (holder === undefined) continue;
-      const luck = world.random();
-      if (luck < 0.01) {
+      const draw = simulation.random();
+      if (draw < 0.01) {
         holder.ledger[Symbol.dispose]();
-        holders[index] = startHolder(world, index, faults);
-      } else if (luck < 0.03) holder.cut.isAway = !holder.cut.isAway;
-      else if (luck < 0.05) toggle(world.alone, holder.processRun.instanceId);
-      else await spend(world, holder, Math.ceil(200 + world.random() ** 4 * 20_000));
-      t.true(world.spentTokens <= world.prepaidTokens);
-      const most = world.holders.reduce((sum, held) => sum + mayStillSpend(held), 0);
-      t.true(most <= grantedInStore(world), 'nobody may spend what the store does not grant');
+        holders[index] = startHolder(simulation, index, faults);
+      } else if (draw < 0.03) holder.cut.isUnavailable = !holder.cut.isUnavailable;
+      else if (draw < 0.05) toggle(simulation.isolated, holder.processRun.instanceId);
+      else await spend(simulation, holder, Math.ceil(200 + simulation.random() ** 4 * 20_000));
+      t.true(simulation.spentTokens <= simulation.prepaidTokens);
+      const maxSpendTokens = simulation.holders.reduce((sum, held) => sum + maxTotalSpend(held), 0);
+      t.true(
+        maxSpendTokens <= grantedTokensInStore(simulation),
+        'instances may spend only what the store has granted',
+      );
     }
-    const page = parsePrepaidPage(world.platform.read(pageKey)?.value);
-    t.true(page !== undefined && grantedTotal(page) <= world.prepaidTokens);
-    t.true(world.spentTokens > world.prepaidTokens / 4, 'most of the tokens could be used');
+    const page = parsePrepaidPage(simulation.platform.read(pageKey)?.value);
+    t.true(page !== undefined && grantedTotal(page) <= simulation.prepaidTokens);
+    t.true(
+      simulation.spentTokens > simulation.prepaidTokens / 4,
+      'more than a quarter of the tokens could be spent',
+    );
   });
 }
 
-// The operator lowers an account's limit below what its instances hold. Each of them has stock that
-// was granted under the old limit; drawing on it would take the account past the new one.
-test('a lowered limit stops stock that was granted under the higher one', async (t) => {
-  const world = createWorld(9, 1_000_000);
-  const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
-  await world.clock.advance(3_000);
-  for (const holder of holders) await spend(world, holder, 10_000);
-  world.prepaidTokens = 60_000;
+// Guards against exceeding a lowered limit. The operator lowers the limit of an account below the stock
+// that its instances were granted under the previous limit.
+test('a lowered limit applies to stock granted under the previous limit', async (t) => {
+  const simulation = createSimulation(9, 1_000_000);
+  const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
+  await simulation.clock.advance(3_000);
+  for (const holder of holders) await spend(simulation, holder, 10_000);
+  simulation.prepaidTokens = 60_000;
   for (const { ledger } of holders) ledger.setLimits(new Map([[accountId, 60_000]]), 2);
-  await world.clock.advance(3_000);
+  await simulation.clock.advance(3_000);
   for (let round = 0; round < 40; round += 1) {
-    for (const holder of holders) await spend(world, holder, 1_000);
-    await world.clock.advance(100);
+    for (const holder of holders) await spend(simulation, holder, 1_000);
+    await simulation.clock.advance(100);
   }
-  t.true(world.spentTokens <= 60_000);
-  t.true(world.spentTokens > 40_000, 'what is left under the new limit can be used');
+  t.true(simulation.spentTokens <= 60_000);
+  t.true(simulation.spentTokens > 40_000, 'tokens left under the new limit can be spent');
 });
 
-// The store goes away for 8 s in the middle of steady use. An instance that holds no stock would
-// refuse everything until it is back.
-test('stock carries an account through an outage of eight seconds', async (t) => {
-  const world = createWorld(10, 10_000_000);
-  const holder = startHolder(world, 0, { lost: 0, late: 0 });
+// Guards against refusals during a short outage: the store is unavailable for 8 s under a steady load,
+// and an instance without stock would refuse every request.
+test('stock serves an account during a store outage of 8 s', async (t) => {
+  const simulation = createSimulation(10, 10_000_000);
+  const holder = startHolder(simulation, 0, { lost: 0, late: 0 });
   for (let step = 0; step < 100; step += 1) {
-    await world.clock.advance(100);
-    await spend(world, holder, 2_000);
+    await simulation.clock.advance(100);
+    await spend(simulation, holder, 2_000);
   }
-  holder.cut.isAway = true;
+  holder.cut.isUnavailable = true;
   let refused = 0;
   for (let step = 0; step < 80; step += 1) {
-    await world.clock.advance(100);
-    if (!(await spend(world, holder, 2_000))) refused += 1;
+    await simulation.clock.advance(100);
+    if (!(await spend(simulation, holder, 2_000))) refused += 1;
   }
   t.is(refused, 0);
 });
 
-// An instance is stopped by plan while it holds stock. What it does not give back is lost to the
-// account, which is then refused although it has paid.
-test('a planned stop gives idle stock back', async (t) => {
-  const world = createWorld(11, 1_000_000);
-  const holder = startHolder(world, 0, { lost: 0, late: 0 });
-  await world.clock.advance(3_000);
-  t.true(await spend(world, holder, 1_000));
-  await world.clock.runUntil(holder.ledger.close());
-  const page = parsePrepaidPage(world.platform.read(pageKey)?.value);
-  t.is(page && grantedTotal(page), world.spentTokens);
+// Guards against an account that is refused although it has paid, because an instance kept its stock
+// in a planned stop.
+test('a planned stop returns unused stock', async (t) => {
+  const simulation = createSimulation(11, 1_000_000);
+  const holder = startHolder(simulation, 0, { lost: 0, late: 0 });
+  await simulation.clock.advance(3_000);
+  t.true(await spend(simulation, holder, 1_000));
+  await simulation.clock.runUntil(holder.ledger.close());
+  const page = parsePrepaidPage(simulation.platform.read(pageKey)?.value);
+  t.is(page && grantedTotal(page), simulation.spentTokens);
 });
 
-// Tokens of the last page are gone and an instance asks for more with each request. Each request
-// used to cost calls to the store; what was read to be dry is believed for a while.
-test('a dry account is refused without asking the store each time', async (t) => {
-  const world = createWorld(12, 10_000);
-  const holder = startHolder(world, 0, { lost: 0, late: 0 });
-  await world.clock.advance(1_500);
-  const before = world.platform.calls.reads + world.platform.calls.writes;
+// Guards against calls to the store for every request of an exhausted account. A page that was read as
+// exhausted is trusted for a while.
+test('an exhausted account is refused without a call to the store for each request', async (t) => {
+  const simulation = createSimulation(12, 10_000);
+  const holder = startHolder(simulation, 0, { lost: 0, late: 0 });
+  await simulation.clock.advance(1_500);
+  const before = simulation.platform.calls.reads + simulation.platform.calls.writes;
   for (let request = 0; request < 100; request += 1) {
-    t.false(await spend(world, holder, 50_000));
+    t.false(await spend(simulation, holder, 50_000));
   }
-  const after = world.platform.calls.reads + world.platform.calls.writes;
+  const after = simulation.platform.calls.reads + simulation.platform.calls.writes;
   t.true(after - before < 10);
 });
 
-// The page of an account cannot be read, for example after another program wrote to it. Taken for an
-// empty page, all prepaid tokens would be granted a second time.
-test('a page that does not parse grants nothing', async (t) => {
-  const world = createWorld(13, 1_000_000);
-  world.platform.write(pageKey, { endedTokens: 'many' }, { kind: 'absent' });
-  const holder = startHolder(world, 0, { lost: 0, late: 0 });
-  await world.clock.advance(3_000);
-  t.false(await spend(world, holder, 1_000));
+// Guards against granting all prepaid tokens a second time: the page of an account cannot be parsed, for
+// example after another program wrote to it, and must not count as an empty page.
+test('a page that cannot be parsed grants nothing', async (t) => {
+  const simulation = createSimulation(13, 1_000_000);
+  simulation.platform.write(pageKey, { endedTokens: 'many' }, { kind: 'absent' });
+  const holder = startHolder(simulation, 0, { lost: 0, late: 0 });
+  await simulation.clock.advance(3_000);
+  t.false(await spend(simulation, holder, 1_000));
 });
 
-// All callers of an account have met at one instance. What lies idle at the others is lost to the
-// account when their processes die, so only the one that gathers its stock may hold more than a
-// little, and that within the bound for all idle stock together.
-test("instances that an account's callers do not use hold none of its tokens but the gathered stock", async (t) => {
-  const world = createWorld(15, 5_000_000);
-  const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
+// Guards against unused tokens that are lost when a process crashes. All callers of an account use one
+// instance. Of the others, only the one that pools the account's stock may hold more than a hundredth
+// of its tokens, and all unused stock together is bounded.
+test("instances that an account's callers do not use hold little but its pooled stock", async (t) => {
+  const simulation = createSimulation(15, 5_000_000);
+  const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
   const [used, ...others] = holders;
   if (used === undefined) return;
   for (let step = 0; step < 400; step += 1) {
-    await world.clock.advance(100);
-    await spend(world, used, 4_000);
+    await simulation.clock.advance(100);
+    await spend(simulation, used, 4_000);
   }
-  const home = world.network.homeOf(accountId, used.processRun.instanceId);
-  for (const { ledger, processRun: lifetime } of others) {
-    const limit = lifetime.instanceId === home ? 0.25 : 0.01;
+  const home = simulation.network.homeOf(accountId, used.processRun.instanceId);
+  for (const { ledger, processRun } of others) {
+    const limit = processRun.instanceId === home ? 0.25 : 0.01;
     t.true(ledger.stockTokens(accountId) < limit * 5_000_000);
   }
   const idle = holders.reduce((sum, { ledger }) => sum + ledger.stockTokens(accountId), 0);
   t.true(idle < 0.25 * 5_000_000);
 });
 
-// The store cannot be reached by any instance for 8 s, but they reach each other. One of them gets
-// most of the requests in that time. With a stock of its own it would run dry while the others sit on
-// theirs; the stock that is gathered for all carries it through.
-test('one stock for all carries the busiest instance through an outage', async (t) => {
-  const world = createWorld(16, 10_000_000);
-  const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
+// Guards against refusals at the busiest instance while others hold unused tokens. The store is
+// unavailable to all instances for 8 s, but their links work, and one of them gets most of the
+// requests. It must be able to spend the stock that is pooled for all.
+test('pooled stock serves the busiest instance during a store outage', async (t) => {
+  const simulation = createSimulation(16, 10_000_000);
+  const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
   for (let step = 0; step < 100; step += 1) {
-    await world.clock.advance(100);
+    await simulation.clock.advance(100);
     const holder = holders[step % 4];
-    if (holder !== undefined) await spend(world, holder, 2_000);
+    if (holder !== undefined) await spend(simulation, holder, 2_000);
   }
-  for (const { cut } of holders) cut.isAway = true;
+  for (const { cut } of holders) cut.isUnavailable = true;
   let refused = 0;
   for (let step = 0; step < 80; step += 1) {
-    await world.clock.advance(100);
+    await simulation.clock.advance(100);
     const holder = holders[step % 8 === 0 ? 1 : 2];
-    if (holder !== undefined && !(await spend(world, holder, 2_000))) refused += 1;
+    if (holder !== undefined && !(await spend(simulation, holder, 2_000))) refused += 1;
   }
   t.is(refused, 0);
 });
 
-// The instance at which an account's stock is gathered cannot be reached by one other, which reaches
-// the store. Its callers would be refused until the links are back.
-test('an instance that is cut off from the others goes to the store itself', async (t) => {
-  const world = createWorld(17, 10_000_000);
-  const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
-  await world.clock.advance(3_000);
+// Guards against refusals at an instance that reaches the store but not the instance that pools the
+// account's stock.
+test('an instance without links to the others calls the store itself', async (t) => {
+  const simulation = createSimulation(17, 10_000_000);
+  const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
+  await simulation.clock.advance(3_000);
   for (const holder of holders) {
     const { instanceId } = holder.processRun;
-    world.alone.add(instanceId);
-    for (let request = 0; request < 5; request += 1) t.true(await spend(world, holder, 20_000));
-    world.alone.delete(instanceId);
+    simulation.isolated.add(instanceId);
+    for (let request = 0; request < 5; request += 1)
+      t.true(await spend(simulation, holder, 20_000));
+    simulation.isolated.delete(instanceId);
   }
 });
 
-// A steady load comes to 27 instances alike. Each of them used to write the account's page every few
-// seconds; only the instance that gathers the stock should.
-test('calls to the store do not grow with the instances that share an account', async (t) => {
-  const callsOf = async (count: number) => {
-    const world = createWorld(18, 30_000_000);
+// Guards against 27 instances that each write the account's page every few seconds under a steady load:
+// only the instance that pools the stock should.
+test('calls to the store do not grow with the number of instances that share an account', async (t) => {
+  const countStoreCalls = async (count: number) => {
+    const simulation = createSimulation(18, 30_000_000);
     const ids = Array.from({ length: count }, (_, index) => index);
-    const holders = ids.map((i) => startHolder(world, i, { lost: 0, late: 0 }));
-    await world.clock.advance(4_000);
-    const before = world.platform.calls.reads + world.platform.calls.writes;
+    const holders = ids.map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
+    await simulation.clock.advance(4_000);
+    const before = simulation.platform.calls.reads + simulation.platform.calls.writes;
     for (let step = 0; step < 600; step += 1) {
-      await world.clock.advance(50);
+      await simulation.clock.advance(50);
       const holder = holders[step % count];
-      if (holder !== undefined) await spend(world, holder, 2_000);
+      if (holder !== undefined) await spend(simulation, holder, 2_000);
     }
-    return world.platform.calls.reads + world.platform.calls.writes - before;
+    return simulation.platform.calls.reads + simulation.platform.calls.writes - before;
   };
-  const few = await callsOf(4);
-  const many = await callsOf(27);
-  t.true(many <= 1.5 * few, `${many} calls by 27 instances, ${few} by 4`);
+  const callsOf4 = await countStoreCalls(4);
+  const callsOf27 = await countStoreCalls(27);
+  t.true(callsOf27 <= 1.5 * callsOf4, `${callsOf27} calls by 27 instances, ${callsOf4} by 4`);
 });
 
-// The store turns away the one instance at which an account's stock is gathered, for longer than that
-// lasts. Its callers were refused, though every other instance could still be granted tokens.
-test('an instance that the store turns away lives on what the others are granted', async (t) => {
-  const world = createWorld(19, 10_000_000);
-  const holders = [0, 1, 2, 3].map((i) => startHolder(world, i, { lost: 0, late: 0 }));
-  await world.clock.advance(3_000);
-  const home = world.network.homeOf(accountId, 'i0' as InstanceId);
-  const turnedAway = holders.find(({ processRun: lifetime }) => lifetime.instanceId === home);
-  if (turnedAway === undefined) return;
-  turnedAway.cut.isAway = true;
+// Guards against refusals while other instances can still be granted tokens: the store is unavailable
+// only to the instance that pools the account's stock, for longer than the stock lasts.
+test('an instance without the store spends what the others are granted', async (t) => {
+  const simulation = createSimulation(19, 10_000_000);
+  const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
+  await simulation.clock.advance(3_000);
+  const home = simulation.network.homeOf(accountId, 'i0' as InstanceId);
+  const disconnected = holders.find(({ processRun }) => processRun.instanceId === home);
+  if (disconnected === undefined) return;
+  disconnected.cut.isUnavailable = true;
   let refused = 0;
   for (let step = 0; step < 200; step += 1) {
-    await world.clock.advance(50);
-    if (!(await spend(world, turnedAway, 25_000))) refused += 1;
+    await simulation.clock.advance(50);
+    if (!(await spend(simulation, disconnected, 25_000))) refused += 1;
   }
   t.is(refused, 0);
 });
--- a/packages/standins/src/failures/requestRecords/test.ts
+++ b/packages/standins/src/failures/requestRecords/test.ts
@@ -6,7 +6,7 @@
 const key = 'k' as RequestKey;
 const id = (name: string) => name as RequestId;
 
-function start() {
+function setUp() {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   const instance = (name: string) => {
@@ -16,10 +16,10 @@
   return { clock, platform, first: instance('i1'), second: instance('i2') };
 }
 
-// A certificate's intent is written, its answer is lost and the store goes away: the call was never
-// dispatched. The caller retries at the same instance, and must not be told "outcome unknown".
-test('an intent that was never dispatched is taken over by a retry here', async (t) => {
-  const { clock, first } = start();
+// Guards against "outcome unknown" for a call that was never dispatched. The intent of a call is written,
+// but the response is lost and the store becomes unavailable. The caller retries at the same instance.
+test('an intent that was never dispatched is reused by a retry at the same instance', async (t) => {
+  const { clock, first } = setUp();
   first.store.link.answersToLose = 1;
   t.is((await clock.runUntil(first.records.begin(key, id('r1'), 'd'))).kind, 'begun');
 
@@ -37,13 +37,13 @@
   t.is((await clock.runUntil(first.records.begin(other, id('r3'), 'd'))).kind, 'begun');
 });
 
-// The same, but the caller retries elsewhere: the first instance takes its intent back as soon as
-// the store answers, and the other one may run the call.
-test('an intent that was never dispatched is taken back for retries elsewhere', async (t) => {
-  const { clock, first, second } = start();
-  const gaveUp = new AbortController();
-  gaveUp.abort();
-  const options = { signal: gaveUp.signal };
+// As above, but the caller retries at another instance: the first one withdraws its intent as soon as
+// the store responds, so that the other one may run the call.
+test('an intent that was never dispatched is withdrawn for retries at other instances', async (t) => {
+  const { clock, first, second } = setUp();
+  const abort = new AbortController();
+  abort.abort();
+  const options = { signal: abort.signal };
   const begun = clock.runUntil(first.records.begin(key, id('r1'), 'd', options));
   t.like(await t.throwsAsync(begun), { kind: 'deadlineExceeded', ran: 'notRun' });
   await clock.advance(10);
@@ -53,9 +53,10 @@
   t.like(again, { kind: 'earlier', record: { requestId: 'r2', state: 'intent' } });
 });
 
-// Two retries of one key arrive at two instances at once; a third uses the key for another body.
-test('one of two instances begins, and another body is refused', async (t) => {
-  const { clock, first, second } = start();
+// Guards against a call that runs twice: two retries with the same key arrive at two instances at once.
+// A third request uses the key for another body.
+test('only one of two instances begins a call, and another body is refused', async (t) => {
+  const { clock, first, second } = setUp();
   const both = [first.records.begin(key, id('r1'), 'd'), second.records.begin(key, id('r2'), 'd')];
   const results = await clock.runUntil(Promise.all(both));
   t.deepEqual(results.map(({ kind }) => kind).sort(), ['begun', 'earlier']);
@@ -63,8 +64,8 @@
   t.like(await t.throwsAsync(reused), { kind: 'keyReused' });
 });
 
-test('a record that does not parse is an error and stays as it is', async (t) => {
-  const { clock, platform, first } = start();
+test('a record that cannot be parsed is an error and is not overwritten', async (t) => {
+  const { clock, platform, first } = setUp();
   await clock.runUntil(first.records.begin(key, id('r1'), 'd'));
   const [stored] = platform.objects();
   const name = stored?.key ?? '';
--- a/packages/standins/src/failures/start/test.ts
+++ b/packages/standins/src/failures/start/test.ts
@@ -15,10 +15,10 @@
       - { id: one-2026, openingTokens: 10000 }
 `;
 
-/** Does not answer the first reads. */
-class LateList extends InstanceList {
+/** An instance list whose first four reads fail. */
+class InitiallyUnavailableList extends InstanceList {
   readonly #list: InstanceList;
-  #missing = 4;
+  #failuresLeft = 4;
 
   constructor(list: InstanceList) {
     super();
@@ -26,19 +26,19 @@
   }
 
   override read(): Promise<readonly ListedInstance[]> {
-    this.#missing -= 1;
-    if (this.#missing < 0) return this.#list.read();
+    this.#failuresLeft -= 1;
+    if (this.#failuresLeft < 0) return this.#list.read();
     return Promise.reject(new RouterError('storeUnavailable', 'the platform did not answer'));
   }
 }
 
-// A machine is replaced while the platform's instance list does not answer. The new instance used to
-// end at once, again and again under its supervisor. It starts, and serves once the list is back.
-test('an instance that starts while the list is away serves when it is back', async (t) => {
+// Guards against a crash loop of an instance that starts while the platform's instance list is
+// unavailable. It must keep running, and serve requests once the list is available.
+test('an instance that starts while the list is unavailable serves requests once it is available', async (t) => {
   await using fleet = await createLocalFleet({
     document,
     instances: 1,
-    wrap: (parts) => ({ ...parts, list: new LateList(parts.list) }),
+    wrap: (parts) => ({ ...parts, list: new InitiallyUnavailableList(parts.list) }),
   });
   const [{ instance }] = fleet.instances as [LocalInstance];
   await fleet.clock.advance(30_000);
--- a/packages/standins/src/failures/streams/test.ts
+++ b/packages/standins/src/failures/streams/test.ts
@@ -29,14 +29,14 @@
   budgetId: 'one-2026' as BudgetId,
   openingTokens: 100_000,
 };
-const calm: FaultPlan = () => undefined;
+const noFaults: FaultPlan = () => undefined;
 
-interface Bench {
+interface Fixture {
   readonly fleet: LocalFleet;
   readonly upstreams: FaultyUpstreams[];
 }
 
-async function start(plan: FaultPlan, engines = 2, tokenGapMs = 20): Promise<Bench> {
+async function createFixture(plan: FaultPlan, engines = 2, tokenGapMs = 20): Promise<Fixture> {
   const upstreams: FaultyUpstreams[] = [];
   const fleet = await createLocalFleet({
     document,
@@ -65,7 +65,7 @@
   return call;
 }
 
-/** What one caller got, and how it ended. */
+/** The frames that one caller received, and the error that ended the stream, if any. */
 interface Received {
   readonly frames: ChatFrame[];
   error?: RouterError;
@@ -94,8 +94,8 @@
   return (record?.promptTokens ?? 0) + (record?.outputTokens ?? 0);
 }
 
-/** Whether the frames are one engine's whole answer to the request, from first token to end. */
-function isWhole({ frames }: Received): boolean {
+/** Whether the frames are the complete stream of one generation, from first token to final frame. */
+function isComplete({ frames }: Received): boolean {
   const final = frames.at(-1);
   if (final?.kind !== 'final' || final.outputTokens !== frames.length - 1) return false;
   return frames
@@ -108,30 +108,30 @@
     );
 }
 
-async function readStatus({ fleet }: Bench) {
+async function readStatus({ fleet }: Fixture) {
   const [first] = fleet.instances as [LocalInstance];
   return fleet.clock.runUntil(readBudget(first.store, budget));
 }
 
-/** All tokens of the budget can be drawn in one grant once no reservation is held any more. */
-async function assertNothingHeld(t: ExecutionContext, bench: Bench): Promise<void> {
-  const { clock, instances } = bench.fleet;
+/** Asserts that no tokens of the budget are granted any more once all ledgers are closed. */
+async function assertNoTokensReserved(t: ExecutionContext, fixture: Fixture): Promise<void> {
+  const { clock, instances } = fixture.fleet;
   for (const { instance } of instances) await clock.runUntil(instance.ledger.closeAll());
-  const status = await readStatus(bench);
+  const status = await readStatus(fixture);
   t.is(status.grantedTokens, 0);
 }
 
-// An assessor's review stops mid-sentence: the connection to the engine breaks while the engine goes
-// on generating. The stream is taken up at the next token, and nothing is missing or doubled.
-test('a stream whose connection dies is taken up on another one', async (t) => {
+// Guards against a stream that ends early: the connection to the engine breaks while the engine
+// continues to generate. The stream resumes at the next token, without missing or repeated tokens.
+test('a stream whose connection breaks resumes on another one', async (t) => {
   const plan: FaultPlan = (_, index) => (index < 3 ? { kind: 'dies', afterTokens: 2 } : undefined);
-  const bench = await start(plan);
-  await using fleet = bench.fleet;
+  const fixture = await createFixture(plan);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.true(isWhole(answer));
+  t.true(isComplete(answer));
   t.deepEqual(
-    bench.upstreams[0]?.connections.map(({ kind, offset }) => [kind, offset]),
+    fixture.upstreams[0]?.connections.map(({ kind, offset }) => [kind, offset]),
     [
       ['generate', 0],
       ['resume', 2],
@@ -142,89 +142,91 @@
   t.is(recordsOf(fleet).length, 1);
 });
 
-// A review hangs for good: a device between instance and engine forgets the connection, and neither
-// end is told. The engine's own gaps say that it is silent; a new connection works.
-test('a connection that falls silent is left by the bound learnt from the engine', async (t) => {
+// Guards against a stream that hangs for good: a network device between instance and engine drops the
+// connection state, and neither end is notified. The time-out learnt from the engine's gaps between
+// tokens detects it, and a new connection works.
+test('a hanging connection is replaced after the time-out learnt from the engine', async (t) => {
   let isSilent = false;
   const plan: FaultPlan = ({ kind }) =>
     isSilent && kind === 'generate' ? { kind: 'silent', afterTokens: 5 } : undefined;
-  const bench = await start(plan, 1);
-  await using fleet = bench.fleet;
+  const fixture = await createFixture(plan, 1);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   await fleet.clock.runUntil(receive(first, chatCall('teaches the gaps')));
   isSilent = true;
   const startedMs = fleet.clock.monotonicMs();
   const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.true(isWhole(answer));
-  // The floor of the bound is a second; the ceiling, which applies before any gap is known, is ten.
+  t.true(isComplete(answer));
+  // The time-out is at least 1 s; its maximum of 10 s applies before any gap is known.
   t.true(fleet.clock.monotonicMs() - startedMs < 9_000);
   t.is(first.instance.metrics.counter('resumes'), 1);
 });
 
-// A trainee waits in front of a boiling pot: the engine accepts the prompt and never answers, on any
-// connection. No token was passed on, so another engine may answer within the class's deadline.
-test('an engine that accepts and never answers is left for another', async (t) => {
-  let deaf: string | undefined;
+// Guards against a request that fails because its engine accepts the prompt and never responds, on any
+// connection. No token was passed on, so another engine may respond within the deadline of the class.
+test('a request moves to another engine if its engine accepts it and never responds', async (t) => {
+  let silentEngineId: string | undefined;
   const plan: FaultPlan = ({ engineId }) => {
-    deaf ??= engineId;
-    return engineId === deaf ? { kind: 'silent', afterTokens: 0 } : undefined;
+    silentEngineId ??= engineId;
+    return engineId === silentEngineId ? { kind: 'silent', afterTokens: 0 } : undefined;
   };
-  const bench = await start(plan);
-  await using fleet = bench.fleet;
+  const fixture = await createFixture(plan);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const call = { ...chatCall('k1', 'shift'), maxTokens: 20 };
   const answer = await fleet.clock.runUntil(receive(first, call));
-  t.true(isWhole(answer));
-  t.is(bench.upstreams[0]?.cancelled.length, 1);
-  t.is((await readStatus(bench)).bills, 1);
-  await assertNothingHeld(t, bench);
+  t.true(isComplete(answer));
+  t.is(fixture.upstreams[0]?.cancelled.length, 1);
+  t.is((await readStatus(fixture)).bills, 1);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A planner reads half of one draft and half of another: the engine dies for good after some tokens,
-// and its request is run again elsewhere. That must not happen; the caller is told at once instead.
-test('an answer that broke off after a token is never continued by another engine', async (t) => {
+// Guards against a stream that mixes two generations: an engine is lost for good after some tokens, and
+// its request is run again on another engine. The caller must get an error at once instead.
+test('a stream that broke off after a token is never continued by another engine', async (t) => {
   const plan: FaultPlan = ({ kind }) =>
     kind === 'generate' ? { kind: 'dies', afterTokens: 3 } : { kind: 'refused' };
-  const bench = await start(plan);
-  await using fleet = bench.fleet;
+  const fixture = await createFixture(plan);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
   t.is(answer.frames.length, 3);
   t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
-  t.is(new Set(bench.upstreams[0]?.connections.map(({ engineId }) => engineId)).size, 1);
-  // A failure of an upstream costs the caller nothing; its retry is billed, once.
-  t.is((await readStatus(bench)).bills, 0);
-  await assertNothingHeld(t, bench);
+  t.is(new Set(fixture.upstreams[0]?.connections.map(({ engineId }) => engineId)).size, 1);
+  // A request that an upstream failed is not billed; its retry is billed, once.
+  t.is((await readStatus(fixture)).bills, 0);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A caller is told "not run" by the second engine's refusal, sends the prompt elsewhere under a new
-// key and pays twice: the first engine had taken it before its connection broke.
-test('a refusal after a dispatch that may have run is not told as not run', async (t) => {
+// Guards against a caller that is told "not run", sends the prompt again under a new key and pays twice:
+// the second engine refuses the request, but the first one had accepted it before its connection
+// broke.
+test('a refusal after a dispatch that may have run is not reported as not run', async (t) => {
   const plan: FaultPlan = ({ kind }, index) =>
     index === 0 && kind === 'generate' ? { kind: 'dies', afterTokens: 0 } : { kind: 'refused' };
-  const bench = await start(plan);
-  await using fleet = bench.fleet;
+  const fixture = await createFixture(plan);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
   t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-test('a request that no engine took is told as not run, for this attempt', async (t) => {
-  const bench = await start(() => ({ kind: 'refused' }));
-  await using fleet = bench.fleet;
+test('a request that no engine accepted is reported as not run, for this attempt', async (t) => {
+  const fixture = await createFixture(() => ({ kind: 'refused' }));
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
   t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'notRun', claimScope: 'attempt' });
   t.is(recordsOf(fleet).length, 0);
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A shift prompt's answer trickles on long after the noodles are done: the class's total deadline
-// ends it with an explicit error, the engine stops, and what was generated is billed once.
-test('the total deadline of the class ends a running answer', async (t) => {
-  const bench = await start(calm, 1, 100);
-  await using fleet = bench.fleet;
+// Guards against a stream that outlives the total deadline of its class. It ends with an explicit error,
+// the engine stops, and what was generated is billed once.
+test('the total deadline of the class ends a running stream', async (t) => {
+  const fixture = await createFixture(noFaults, 1, 100);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const call = { ...chatCall('k1', 'shift', 'x'.repeat(400)), maxTokens: 2_000 };
   const startedMs = fleet.clock.monotonicMs();
@@ -235,16 +237,16 @@
   const [record] = recordsOf(fleet);
   t.is(record?.state, 'cancelled');
   t.is(record?.outputTokens, answer.frames.length);
-  const status = await readStatus(bench);
+  const status = await readStatus(fixture);
   t.deepEqual([status.bills, status.settledTokens], [1, usedTokens(record)]);
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A caller closes its connection one token before the end, again and again, to read for nothing. The
-// begun answer runs on for a moment, ends, and is billed whole; its retry is not billed again.
-test('a caller that goes away near the end is billed the whole answer, once', async (t) => {
-  const bench = await start(calm, 1);
-  await using fleet = bench.fleet;
+// Guards against callers that avoid payment by closing the connection just before the end. The
+// generation continues for a moment, ends, and is billed in full; the retry is not billed again.
+test('a caller that disconnects near the end is billed the whole response, once', async (t) => {
+  const fixture = await createFixture(noFaults, 1);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const abort = new AbortController();
   const call = { ...chatCall('k1'), maxTokens: 40 };
@@ -253,20 +255,21 @@
   abort.abort();
   t.like((await fleet.clock.runUntil(leaving)).error, { kind: 'cancelled', ran: 'unknown' });
   const again = await fleet.clock.runUntil(receive(first, call));
-  t.true(isWhole(again));
-  const status = await readStatus(bench);
+  t.true(isComplete(again));
+  const status = await readStatus(fixture);
   const [record] = recordsOf(fleet);
   t.is(status.bills, 1);
   t.is(status.settledTokens, usedTokens(record));
   t.is(recordsOf(fleet).length, 1);
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A caller goes away early and stays away. The engine stops soon, so that nobody else waits for an
-// answer that nobody reads; what was generated is billed, and a later retry adds nothing.
-test('a caller that goes away for good is billed what was generated', async (t) => {
-  const bench = await start(calm, 1, 100);
-  await using fleet = bench.fleet;
+// Guards against engine time spent on a response that nobody reads, while other requests wait. The
+// caller disconnects early and does not return soon: the engine stops, what was generated is billed,
+// and a later retry adds nothing to the bill.
+test('a caller that disconnects early is billed what was generated', async (t) => {
+  const fixture = await createFixture(noFaults, 1, 100);
+  await using fleet = fixture.fleet;
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   const abort = new AbortController();
   const call = { ...chatCall('k1', 'review', 'x'.repeat(400)), maxTokens: 2_000 };
@@ -278,69 +281,71 @@
   t.is(first.instance.openWork, 0);
   const [record] = recordsOf(fleet);
   t.is(record?.state, 'cancelled');
-  const billedTokens = (await readStatus(bench)).settledTokens;
+  const billedTokens = (await readStatus(fixture)).settledTokens;
   t.is(billedTokens, usedTokens(record));
   const again = await fleet.clock.runUntil(receive(second, call));
-  t.true(isWhole(again));
-  t.is((await readStatus(bench)).settledTokens, billedTokens);
-  await assertNothingHeld(t, bench);
+  t.true(isComplete(again));
+  t.is((await readStatus(fixture)).settledTokens, billedTokens);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// An account is charged for a prompt four times its length: the engine did not say how many tokens the
-// prompt had, and the bound on them stood in for their number. Only what came is billed then.
-test('an engine that does not say what it did is not guessed at', async (t) => {
-  const bench = await start(calm, 1, 100);
-  await using fleet = bench.fleet;
+// Guards against a charge for four times the tokens of a prompt: the engine did not report its prompt
+// tokens, and their upper bound was billed instead. Without a report, only the tokens received are
+// billed.
+test('the usage of an engine that reports none is not estimated', async (t) => {
+  const fixture = await createFixture(noFaults, 1, 100);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const [upstreams] = bench.upstreams as [FaultyUpstreams];
-  upstreams.saysUsage = false;
+  const [upstreams] = fixture.upstreams as [FaultyUpstreams];
+  upstreams.isReportingUsage = false;
   const call = { ...chatCall('k1', 'shift', 'x'.repeat(400)), maxTokens: 2_000 };
   const answer = await fleet.clock.runUntil(receive(first, call));
   await fleet.clock.advance(1_000);
   t.like(answer.error, { kind: 'deadlineExceeded' });
-  t.is((await readStatus(bench)).settledTokens, answer.frames.length);
-  await assertNothingHeld(t, bench);
+  t.is((await readStatus(fixture)).settledTokens, answer.frames.length);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// An engine that has lost its stop condition generates for ever. The answer is cut off with an error
-// at the length that was asked for, and takes no more memory.
-test('an engine that passes the most tokens asked for is cut off', async (t) => {
-  const bench = await start(calm, 1);
-  await using fleet = bench.fleet;
+// Guards against unbounded memory use when an engine generates without end. The stream ends with an
+// error at the maximum length that was requested.
+test('a stream ends when its engine exceeds the requested maximum of tokens', async (t) => {
+  const fixture = await createFixture(noFaults, 1);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const [upstreams] = bench.upstreams as [FaultyUpstreams];
-  upstreams.ignoresMaxTokens = true;
+  const [upstreams] = fixture.upstreams as [FaultyUpstreams];
+  upstreams.isIgnoringMaxTokens = true;
   const answer = await fleet.clock.runUntil(receive(first, { ...chatCall('k1'), maxTokens: 10 }));
   t.is(answer.frames.length, 10);
   t.like(answer.error, { kind: 'upstreamFailed', ran: 'unknown' });
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// Two clicks on "send" become two runs and two charges, or the second reader misses the beginning.
-test('the same call under the same key joins the answer that runs', async (t) => {
-  const bench = await start(calm);
-  await using fleet = bench.fleet;
+// Guards against two runs and two charges for a call that is sent twice, and against a second reader
+// that misses the beginning of the stream.
+test('the same call with the same key joins the running stream', async (t) => {
+  const fixture = await createFixture(noFaults);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const one = receive(first, chatCall('k1'));
   await fleet.clock.advance(200);
   const two = receive(first, chatCall('k1'));
   const answers = await fleet.clock.runUntil(Promise.all([one, two]));
-  t.deepEqual(answers.map(isWhole), [true, true]);
+  t.deepEqual(answers.map(isComplete), [true, true]);
   t.is(recordsOf(fleet).length, 1);
-  t.is((await readStatus(bench)).bills, 1);
-  await assertNothingHeld(t, bench);
+  t.is((await readStatus(fixture)).bills, 1);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// A coordinator spends the last tokens on a plan whose end is lost with its instance. The retry
-// elsewhere costs nothing, but was refused for want of tokens to hold.
-test('an answer that used up its budget is still given to its retry elsewhere', async (t) => {
-  const bench = await start(calm);
-  await using fleet = bench.fleet;
+// Guards against a retry that is refused for lack of tokens to reserve, although it costs nothing: the
+// first attempt used the last tokens of the budget, and its end was lost with its instance.
+test('a retry at another instance gets the response that used up its budget', async (t) => {
+  const fixture = await createFixture(noFaults);
+  await using fleet = fixture.fleet;
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   const lastCall = { ...chatCall('k1'), budgetId: 'one-answer' as BudgetId };
-  t.true(isWhole(await fleet.clock.runUntil(receive(first, lastCall))));
+  t.true(isComplete(await fleet.clock.runUntil(receive(first, lastCall))));
   const again = await fleet.clock.runUntil(receive(second, lastCall));
-  t.true(isWhole(again));
+  t.true(isComplete(again));
   t.like(again.frames.at(-1), { isRepeat: true });
   const other = await fleet.clock.runUntil(
     receive(second, { ...lastCall, model: 'small', maxTokens: 199 }),
@@ -353,11 +358,12 @@
   t.is(status.bills, 1);
 });
 
-// A client's key generator repeats itself. At this instance the second prompt is refused before a
-// token; elsewhere the bill says so, and the caller gets an error in place of a final frame.
-test('a key that stands for another body is refused, here and elsewhere', async (t) => {
-  const bench = await start(calm);
-  await using fleet = bench.fleet;
+// Guards against a response to the wrong prompt when a client reuses an idempotency key. The same
+// instance refuses the second prompt before the first token; at another instance the bill reveals the
+// reuse, and the caller gets an error instead of a final frame.
+test('a key used for another body is refused at the same and at another instance', async (t) => {
+  const fixture = await createFixture(noFaults);
+  await using fleet = fixture.fleet;
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   await fleet.clock.runUntil(receive(first, chatCall('k1')));
   const other = chatCall('k1', 'review', 'another question');
@@ -367,15 +373,15 @@
   const elsewhere = await fleet.clock.runUntil(receive(second, other));
   t.like(elsewhere.error, { kind: 'keyReused', ran: 'ran' });
   t.true(elsewhere.frames.every((frame) => frame.kind === 'token'));
-  t.is((await readStatus(bench)).bills, 1);
-  await assertNothingHeld(t, bench);
+  t.is((await readStatus(fixture)).bills, 1);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// The store does not answer while a shift prompt waits for its tokens. The caller is told within its
-// first-token deadline, and the tokens that come later are given back.
-test('the first-token deadline holds while tokens are set aside', async (t) => {
-  const bench = await start(calm);
-  await using fleet = bench.fleet;
+// Guards against a request that waits for its reservation beyond the first-token deadline while the
+// store does not respond. Tokens that are reserved later are returned.
+test('the first-token deadline applies while tokens are reserved', async (t) => {
+  const fixture = await createFixture(noFaults);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   first.store.link.delayMs = 3_000;
   const startedMs = fleet.clock.monotonicMs();
@@ -385,15 +391,15 @@
   await fleet.clock.advance(5_000);
   first.store.link.delayMs = 0;
   t.is(recordsOf(fleet).length, 0);
-  await assertNothingHeld(t, bench);
+  await assertNoTokensReserved(t, fixture);
 });
 
-// The store goes away while an answer streams, and stays away for ten minutes. Its caller used to
-// wait for the final frame all that time. It is told after its class's deadline that the answer ran
-// and when to come back; its retry gets the whole answer, and one bill.
-test('a bill that cannot be written is not waited for beyond the deadline', async (t) => {
-  const bench = await start(calm);
-  await using fleet = bench.fleet;
+// Guards against a caller that waits for the final frame during a store outage of ten minutes, which
+// begins while the response streams. After the deadline of its class the caller is told that the
+// request ran and when to retry; the retry gets the complete response, and there is one bill.
+test('a caller does not wait for a bill beyond the deadline', async (t) => {
+  const fixture = await createFixture(noFaults);
+  await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const startedMs = fleet.clock.monotonicMs();
   const running = receive(first, chatCall('k1', 'shift'));
@@ -407,8 +413,8 @@
   first.store.link.isDown = false;
   await fleet.clock.advance(60_000);
   const again = await fleet.clock.runUntil(receive(first, chatCall('k1', 'shift')));
-  t.true(isWhole(again));
+  t.true(isComplete(again));
   t.is(recordsOf(fleet).length, 1);
-  t.is((await readStatus(bench)).bills, 1);
-  await assertNothingHeld(t, bench);
+  t.is((await readStatus(fixture)).bills, 1);
+  await assertNoTokensReserved(t, fixture);
 });
--- a/packages/standins/src/failures/upstreamSpread/test.ts
+++ b/packages/standins/src/failures/upstreamSync/test.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance that the store turns away learns of upstreams from its peers.
+ * An instance that cannot reach the store reads upstreams from its peers.
  */
 import test from 'ava';
 import {
@@ -30,7 +30,7 @@
   };
 }
 
-function open() {
+function setUp() {
   const clock = new ManualClock();
   const network = new MemoryFleet({ clock });
   const random = createRandom(1);
@@ -39,50 +39,50 @@
     const rpc = new FleetRpc({ links, clock });
     const table = new UpstreamTable({ clock, onChange: () => undefined });
     table.replaceAll([recordOf('u1', 'live'), recordOf('u2', 'live')]);
-    const state = { isAway: false };
-    const spread = new PeerUpstreamSync({
+    const state = { isStoreUnavailable: false };
+    const sync = new PeerUpstreamSync({
       rpc,
       clock,
       random,
       table,
-      isStoreUnavailable: () => state.isAway,
+      isStoreUnavailable: () => state.isStoreUnavailable,
       peers: () => ids.filter((other) => other !== id),
     });
-    void spread.run();
-    const usable = () => table.usable(service).map((upstream) => upstream.id as string);
-    return { links, table, state, usable };
+    void sync.run();
+    const usableIds = () => table.usable(service).map((upstream) => upstream.id as string);
+    return { links, table, state, usableIds };
   });
   const [a, b, c] = nodes as [(typeof nodes)[0], (typeof nodes)[0], (typeof nodes)[0]];
   return { clock, a, b, c };
 }
 
-// Guards against requests that go on to an upstream that leaves, at the one instance that the store
-// turns away.
-test('an instance that the store turns away learns from a peer which upstreams leave', async (t) => {
-  const { clock, a, b, c } = open();
-  a.state.isAway = true;
+// Guards against requests to an upstream that is leaving, from the one instance that cannot reach the
+// store.
+test('an instance without the store learns from a peer which upstreams are leaving', async (t) => {
+  const { clock, a, b, c } = setUp();
+  a.state.isStoreUnavailable = true;
   a.table.markStoreUnavailable();
   for (const { table } of [b, c]) table.put(recordOf('u1', 'leaving'));
   for (const { table } of [b, c]) table.put(recordOf('u3', 'live'));
   await clock.advance(1_500);
-  t.deepEqual(a.usable(), ['u2', 'u3']);
+  t.deepEqual(a.usableIds(), ['u2', 'u3']);
 });
 
-// Guards against believing a peer that knows no better.
-test('peers that the store does not answer either tell nothing', async (t) => {
-  const { clock, a, b, c } = open();
+// Guards against trusting the upstreams of a peer that cannot reach the store either.
+test('peers that cannot reach the store either provide no upstreams', async (t) => {
+  const { clock, a, b, c } = setUp();
   for (const { state, table } of [a, b, c]) {
-    state.isAway = true;
+    state.isStoreUnavailable = true;
     table.markStoreUnavailable();
   }
   b.table.put(recordOf('u1', 'leaving'));
   await clock.advance(10_000);
-  t.deepEqual(a.usable(), ['u1', 'u2']);
+  t.deepEqual(a.usableIds(), ['u1', 'u2']);
 });
 
-// Guards against calls between instances on a day without trouble.
-test('an instance that the store answers asks no peer', async (t) => {
-  const { clock, a } = open();
+// Guards against needless calls between instances while the store is available.
+test('an instance that reaches the store calls no peer', async (t) => {
+  const { clock, a } = setUp();
   await clock.advance(10_000);
   t.is(a.links.traffic.sentMessages, 0);
 });
