--- a/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
+++ b/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
@@ -8,26 +8,26 @@
   type WriteResult,
 } from '@acaciacrank/store';
 
-/** What can be wrong between one user and the store, call by call. */
+/** Faults of one client's connection to the store; each applies until it is reset. */
 export interface StoreFaults {
-  /** No call is answered. */
+  /** Every call fails. */
   isDown: boolean;
-  /** Reads are answered from what was read before, as a cache does. */
+  /** Reads return the value that was read before, as a stale cache does. */
   isStale: boolean;
-  /** Waiting watches never return, and never fail. */
+  /** Watches hang: they neither return nor fail. */
   isWatchSilent: boolean;
-  /** Reads never return, and never fail. */
+  /** Reads hang: they neither return nor fail. */
   isReadSilent: boolean;
   /** Runs before a write reaches the store. */
   beforeWrite: ((key: string) => void | Promise<void>) | undefined;
-  /** Runs before a list and before a removal reaches the store. */
+  /** Runs before a snapshot reaches the store; `beforeRemove` does so before a removal. */
   beforeList: (() => Promise<void>) | undefined;
   beforeRemove: (() => Promise<void>) | undefined;
-  /** The next write takes effect, its answer is lost, and then this runs. */
+  /** The next write of a manifest takes effect, this runs, and the response is lost. */
   afterLostAnswer: (() => void | Promise<void>) | undefined;
 }
 
-/** A store between an instance or operator and the platform, with faults to set. */
+/** An object store with fault injection, for one instance or operator. */
 export class FaultyObjectStore extends ObjectStore {
   readonly faults: StoreFaults = {
     isDown: false,
@@ -39,7 +39,7 @@
     beforeRemove: undefined,
     afterLostAnswer: undefined,
   };
-  /** Bytes of values that were written, as JSON. */
+  /** Total size of the values written, as JSON; counted in UTF-16 code units. */
   writtenBytes = 0;
   writes = 0;
   readBytes = 0;
@@ -52,17 +52,17 @@
     this.#store = store;
   }
 
-  /** Puts into the cache what stale reads are answered from. */
+  /** Puts an object into the cache that serves stale reads. */
   remember(stored: StoredObject): void {
     this.#cache.set(stored.key, stored);
   }
 
   override async read(key: string): Promise<StoredObject | undefined> {
     if (this.faults.isReadSilent) await new Promise(() => undefined);
-    this.#reach();
+    this.#assertReachable();
     if (this.faults.isStale && this.#cache.has(key)) return this.#cache.get(key);
     const stored = await this.#store.read(key);
-    this.#reach();
+    this.#assertReachable();
     this.#cache.set(key, stored);
     this.reads += 1;
     this.readBytes += JSON.stringify(stored?.value ?? '').length;
@@ -74,7 +74,7 @@
     value: unknown,
     condition: WriteCondition,
   ): Promise<WriteResult> {
-    this.#reach();
+    this.#assertReachable();
     await this.faults.beforeWrite?.(key);
     const result = await this.#store.write(key, value, condition);
     this.writes += 1;
@@ -83,17 +83,17 @@
     if (afterLostAnswer === undefined || !key.endsWith('manifest')) return result;
     this.faults.afterLostAnswer = undefined;
     await afterLostAnswer();
-    throw unavailable();
+    throw createUnavailableError();
   }
 
   override async remove(key: string, version: number): Promise<WriteResult> {
-    this.#reach();
+    this.#assertReachable();
     await this.faults.beforeRemove?.();
     return this.#store.remove(key, version);
   }
 
   override async snapshot(prefix: string): Promise<StoreSnapshot> {
-    this.#reach();
+    this.#assertReachable();
     await this.faults.beforeList?.();
     return this.#store.snapshot(prefix);
   }
@@ -103,18 +103,18 @@
     sinceRevision: number,
     signal: AbortSignal,
   ): Promise<StoreChanges> {
-    this.#reach();
+    this.#assertReachable();
     const changes = await this.#store.watch(prefix, sinceRevision, signal);
     if (this.faults.isWatchSilent) await new Promise(() => undefined);
-    this.#reach();
+    this.#assertReachable();
     return changes;
   }
 
-  #reach(): void {
-    if (this.faults.isDown) throw unavailable();
+  #assertReachable(): void {
+    if (this.faults.isDown) throw createUnavailableError();
   }
 }
 
-function unavailable(): RouterError {
+function createUnavailableError(): RouterError {
   return new RouterError('storeUnavailable', 'the platform did not answer');
 }
--- a/packages/standins/src/configuration/_lib/configurationDocument/index.ts
+++ b/packages/standins/src/configuration/_lib/configurationDocument/index.ts
@@ -1,21 +1,22 @@
 /**
- * Documents of any size, for tests and measurements.
+ * Creates configuration documents of any size, for tests and benchmarks.
  */
 import { digestText } from '@acaciacrank/base';
 import type { EnvironmentDocument } from '@acaciacrank/operators';
 
-/** How large a document is. */
+/** The size of a document. */
 export interface DocumentSize {
   readonly accounts: number;
-  /** Budgets of an ordinary account. */
+  /** Number of budgets of an account that is not large. */
   readonly budgetsPerAccount: number;
-  /** How many of the accounts are large, and how many budgets each of those has. */
+  /** Number of the accounts that are large, 0 by default. */
   readonly largeAccounts?: number;
+  /** Number of budgets of each large account, 0 by default. */
   readonly budgetsPerLargeAccount?: number;
 }
 
 /**
- * Makes a document.
+ * Creates a document.
  *
  * @example
  * makeDocument({ accounts: 10, budgetsPerAccount: 1 }).accounts.length;
@@ -36,23 +37,23 @@
         checksFencing: true,
       },
     ],
-    accounts: Array.from({ length: size.accounts }, (_, at) => {
-      const isLarge = at < (size.largeAccounts ?? 0);
+    accounts: Array.from({ length: size.accounts }, (_, accountIndex) => {
+      const isLarge = accountIndex < (size.largeAccounts ?? 0);
       const budgets = isLarge ? (size.budgetsPerLargeAccount ?? 0) : size.budgetsPerAccount;
       return {
-        id: `account-${at}`,
-        keyDigests: [digestText(`key-${at}`)],
-        budgets: Array.from({ length: budgets }, (__, inner) => ({
-          id: `account-${at}-budget-${inner}`,
-          openingTokens: 100_000 + inner,
+        id: `account-${accountIndex}`,
+        keyDigests: [digestText(`key-${accountIndex}`)],
+        budgets: Array.from({ length: budgets }, (__, budgetIndex) => ({
+          id: `account-${accountIndex}-budget-${budgetIndex}`,
+          openingTokens: 100_000 + budgetIndex,
         })),
       };
     }),
   };
 }
 
-/** A document as text, with one budget's opening tokens as its mark. */
-export function markedText(mark: number, environment = 'kapiti'): string {
+/** Creates the text of a small document; tests tell versions apart by the opening tokens of a budget. */
+export function markedText(openingTokens: number, environment = 'kapiti'): string {
   return `environment: ${environment}
 classes:
   - { name: review, firstTokenDeadlineMs: 60000, totalDeadlineMs: 600000 }
@@ -62,7 +63,7 @@
   - id: porirua
     keyDigests: [${digestText('porirua-key')}]
     budgets:
-      - { id: porirua-2026, openingTokens: ${mark} }
+      - { id: porirua-2026, openingTokens: ${openingTokens} }
   - id: waikanae
     keyDigests: [${digestText('waikanae-key')}]
     budgets:
@@ -70,8 +71,8 @@
 `;
 }
 
-/** The mark of the document that an index was made from. */
-export function markOf(index: {
+/** The opening tokens passed to {@link markedText} for the document that an index was built from. */
+export function openingTokensOf(index: {
   budgetOf(account: never, budget: string): { openingTokens: number };
 }): number {
   return index.budgetOf('porirua' as never, 'porirua-2026').openingTokens;
--- a/packages/standins/src/configuration/acceptance/test.ts
+++ b/packages/standins/src/configuration/acceptance/test.ts
@@ -12,65 +12,75 @@
   type Acceptance,
 } from '@acaciacrank/operators';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { markedText, markOf } from '../_lib/configurationDocument/index.js';
+import { markedText, openingTokensOf } from '../_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../_lib/FaultyObjectStore/index.js';
 
 function setUp() {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
-  const open = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
-  const accept = (store: FaultyObjectStore, mark: number, expectedVersion?: number) =>
-    acceptDocument(store, clock, markedText(mark), { random: createRandom(mark), expectedVersion });
-  return { clock, platform, open, accept };
+  const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
+  const accept = (store: FaultyObjectStore, openingTokens: number, expectedVersion?: number) =>
+    acceptDocument(store, clock, markedText(openingTokens), {
+      random: createRandom(openingTokens),
+      expectedVersion,
+    });
+  return { clock, platform, openStore, accept };
 }
 
-async function rejected(t: ExecutionContext, work: Promise<unknown>): Promise<RouterError> {
+async function expectRouterError(
+  t: ExecutionContext,
+  work: Promise<unknown>,
+): Promise<RouterError> {
   const error = await t.throwsAsync(work);
   if (error instanceof RouterError) return error;
-  throw new Error('the wrong error was thrown');
+  throw new Error('expected a RouterError, but another error was thrown');
 }
 
-// Two operators save at the same moment. The one whose write comes second must not undo the first
-// one's change without knowing; he sees what the other changed, and nothing of his is in force.
-test('of two racing operators one wins whole, and the other is told what changed', async (t) => {
-  const { clock, open, accept } = setUp();
-  const [winner, loser] = [open(), open()];
-  await accept(winner, 10);
-  let raced: Promise<Acceptance> | undefined;
-  loser.faults.beforeWrite = async (key) => {
+// Guards against a lost update when two operators save at the same time. The second write is refused
+// as a whole, and its operator is shown what the other one changed.
+test('of two concurrent changes one is accepted, and the other is refused with the difference', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const [firstStore, secondStore] = [openStore(), openStore()];
+  await accept(firstStore, 10);
+  let concurrentAcceptance: Promise<Acceptance> | undefined;
+  secondStore.faults.beforeWrite = async (key) => {
     if (!key.endsWith('manifest')) return;
-    raced ??= accept(winner, 20);
-    await raced;
+    concurrentAcceptance ??= accept(firstStore, 20);
+    await concurrentAcceptance;
   };
-  const error = await rejected(t, clock.runUntil(accept(loser, 30)));
+  const error = await expectRouterError(t, clock.runUntil(accept(secondStore, 30)));
   t.is(error.kind, 'conflict');
   t.regex(error.message, /version 2 of kapiti is in force; your change was made from version 1/);
   t.regex(error.message, /~ account porirua budget porirua-2026 10 opening tokens -> 20 opening/);
-  const watcher = new ConfigurationWatcher({ store: open(), clock, environment: 'kapiti' });
+  const watcher = new ConfigurationWatcher({ store: openStore(), clock, environment: 'kapiti' });
   await clock.runUntil(watcher.refresh());
-  t.is(markOf(watcher.current().index), 20);
+  t.is(openingTokensOf(watcher.current().index), 20);
   t.is(watcher.current().version, 2);
 });
 
-// An operator edits the file he saved in spring. Somebody else promoted a change in summer. Without
-// a check his promotion would take the summer's change back, though no two writes ever raced.
-test('a change made from an older version is refused, with what came since', async (t) => {
-  const { clock, open, accept } = setUp();
-  const store = open();
+// Guards against reverting a change by editing an old file. An operator edits a file saved months ago,
+// and somebody else has promoted a change since then. No two writes are concurrent, so only the check
+// of the base version detects it.
+test('a change based on an older version is refused with the changes since then', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const store = openStore();
   await accept(store, 10);
   await accept(store, 20);
-  const error = await rejected(t, clock.runUntil(accept(store, 30, 1)));
+  const error = await expectRouterError(t, clock.runUntil(accept(store, 30, 1)));
   t.is(error.kind, 'conflict');
   t.regex(error.message, /Changed since version 1:\n~ account porirua budget/);
   const text = `basedOnVersion: 1\n${markedText(30)}`;
-  t.is((await rejected(t, clock.runUntil(acceptDocument(store, clock, text)))).kind, 'conflict');
+  t.is(
+    (await expectRouterError(t, clock.runUntil(acceptDocument(store, clock, text)))).kind,
+    'conflict',
+  );
 });
 
-// The store takes the manifest and the answer is lost on the way back. The operator must not be told
-// that it failed, nor may the same document come into force as two versions.
-test('an answer lost after the effect is found out', async (t) => {
-  const { clock, open, accept } = setUp();
-  const store = open();
+// Guards against a change that is reported as failed although it is in force, and against one document
+// in force as two versions: the store writes the manifest, but its response is lost.
+test('a write whose response is lost is confirmed by a read', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const store = openStore();
   await accept(store, 10);
   store.faults.afterLostAnswer = () => undefined;
   const acceptance = await clock.runUntil(accept(store, 20));
@@ -79,62 +89,62 @@
   t.is((await readManifest(store, 'kapiti')).version, 2);
 });
 
-// As before, and before the operator's program has read again, a colleague's change is in force.
-test('an answer lost after the effect is found out though another version came after', async (t) => {
-  const { clock, open, accept } = setUp();
-  const [store, colleague] = [open(), open()];
+// As above; in addition, another operator's change comes into force before the confirming read.
+test('a write whose response is lost is confirmed by a read after a later version', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const [store, otherStore] = [openStore(), openStore()];
   await accept(store, 10);
   store.faults.afterLostAnswer = async () => {
-    await accept(colleague, 30);
+    await accept(otherStore, 30);
   };
   const acceptance = await clock.runUntil(accept(store, 20));
   t.is(acceptance.accepted.version, 2);
   t.is(acceptance.manifest.version, 3);
 });
 
-// The answer is lost and the store stays down: nobody can know whether the change is in force, and
-// the operator must be told just that.
-test('an outcome that cannot be found out is said to be unknown', async (t) => {
-  const { clock, open, accept } = setUp();
-  const store = open();
+// Guards against reporting an outcome that cannot be known: the response is lost and the store stays
+// down. The operator must be told that the outcome is unknown.
+test('an outcome that cannot be confirmed is reported as unknown', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const store = openStore();
   await accept(store, 10);
   store.faults.afterLostAnswer = () => {
     store.faults.isDown = true;
   };
-  const error = await rejected(t, clock.runUntil(accept(store, 20)));
+  const error = await expectRouterError(t, clock.runUntil(accept(store, 20)));
   t.is(error.kind, 'storeUnavailable');
   t.is(error.ran, 'unknown');
   store.faults.isDown = false;
   t.is((await clock.runUntil(accept(store, 20))).outcome, 'unchanged');
 });
 
-// The store goes down while objects are being written. Nothing is in force of the new document, and
-// the operator is told that nothing changed.
-test('an acceptance that stopped before the manifest changed nothing', async (t) => {
-  const { clock, open, accept } = setUp();
-  const store = open();
+// Guards against a partly applied document when the store goes down while objects are written. The
+// operator is told that nothing changed.
+test('an acceptance that fails before it writes the manifest changes nothing', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const store = openStore();
   await accept(store, 10);
   store.faults.beforeWrite = () => {
     throw new RouterError('storeUnavailable', 'the platform did not answer');
   };
-  const error = await rejected(t, clock.runUntil(accept(store, 20)));
+  const error = await expectRouterError(t, clock.runUntil(accept(store, 20)));
   t.is(error.ran, 'notRun');
   store.faults.beforeWrite = undefined;
   t.is((await readManifest(store, 'kapiti')).version, 1);
   t.is((await clock.runUntil(accept(store, 20))).accepted.version, 2);
 });
 
-// A newer release wrote the manifest, or a hand damaged it. A program that cannot read it must say
-// so and leave it as it is, rather than begin again at version 1.
+// Guards against a configuration that restarts at version 1 because its manifest cannot be read: a
+// release with another format wrote it, or it was damaged by hand. The manifest must stay as it is.
 for (const [name, value] of [
   ['of an old format', { format: 1, version: 7, digest: 'x', text: '' }],
   ['that is damaged', { format: 2, version: 'seven' }],
 ] as const) {
-  test(`a manifest ${name} is not written over`, async (t) => {
-    const { clock, open, accept, platform } = setUp();
-    const store = open();
+  test(`a manifest ${name} is not overwritten`, async (t) => {
+    const { clock, openStore, accept, platform } = setUp();
+    const store = openStore();
     await store.write(manifestKey('kapiti'), value, { kind: 'none' });
-    const error = await rejected(t, clock.runUntil(accept(store, 20)));
+    const error = await expectRouterError(t, clock.runUntil(accept(store, 20)));
     t.is(error.kind, 'badDocument');
     t.regex(error.message, /nothing was changed/);
     const watcher = new ConfigurationWatcher({ store, clock, environment: 'kapiti' });
@@ -148,38 +158,39 @@
   });
 }
 
-// An operator goes back to what ran last week. Instances act on rising versions only, so the old
-// bytes come into force as a new version.
-test('a rollback is a new version with the old bytes', async (t) => {
-  const { clock, open, accept } = setUp();
-  const store = open();
+// Guards against a rollback that instances ignore: they apply only higher versions, so the old content
+// must come into force as a new version.
+test('a rollback creates a new version with the old content', async (t) => {
+  const { clock, openStore, accept } = setUp();
+  const store = openStore();
   await accept(store, 10);
   await accept(store, 20);
   const { accepted } = await clock.runUntil(rollbackVersion(store, clock, 'kapiti'));
   t.deepEqual([accepted.version, accepted.rolledBackTo], [3, 1]);
   const watcher = new ConfigurationWatcher({ store, clock, environment: 'kapiti' });
   await clock.runUntil(watcher.refresh());
-  t.is(markOf(watcher.current().index), 10);
-  const toNowhere = rollbackVersion(store, clock, 'kapiti', { toVersion: 9 });
-  t.is((await rejected(t, clock.runUntil(toNowhere))).kind, 'notFound');
+  t.is(openingTokensOf(watcher.current().index), 10);
+  const unknownRollback = rollbackVersion(store, clock, 'kapiti', { toVersion: 9 });
+  t.is((await expectRouterError(t, clock.runUntil(unknownRollback))).kind, 'notFound');
 });
 
-// An operator tries a document, corrects one figure, and promotes the corrected file; or promotes
-// while the trial instances are down. Production would be the first to run those bytes.
-test('bytes that no trial instance acted on are not promoted', async (t) => {
-  const { clock, open } = setUp();
-  const store = open();
+// Guards against promoting a document that production would be the first to run. An operator tries a
+// document, corrects one number in it and promotes the corrected file, or promotes while the trial
+// instances are down.
+test('a document that no trial instance has applied is not promoted', async (t) => {
+  const { clock, openStore } = setUp();
+  const store = openStore();
   const trial = trialEnvironmentOf('kapiti');
   const trialStore = environmentStore(store, trial);
-  const promote = (mark: number) =>
-    clock.runUntil(promoteFromTrial(store, clock, markedText(mark)));
-  t.is((await rejected(t, promote(10))).kind, 'notTried');
+  const promote = (openingTokens: number) =>
+    clock.runUntil(promoteFromTrial(store, clock, markedText(openingTokens)));
+  t.is((await expectRouterError(t, promote(10))).kind, 'notTried');
   await acceptDocument(trialStore, clock, markedText(10), { environment: trial });
-  t.is((await rejected(t, promote(10))).kind, 'notTried');
+  t.is((await expectRouterError(t, promote(10))).kind, 'notTried');
   const watcher = new ConfigurationWatcher({ store: trialStore, clock, environment: trial });
   await clock.runUntil(watcher.start());
   await clock.advance(100);
-  t.is((await rejected(t, promote(11))).kind, 'notTried');
+  t.is((await expectRouterError(t, promote(11))).kind, 'notTried');
   const promotion = await promote(10);
   t.is(promotion.accepted.digest, watcher.current().digest);
   t.is(promotion.trialRun.version, 1);
--- a/packages/standins/src/configuration/garbage/test.ts
+++ b/packages/standins/src/configuration/garbage/test.ts
@@ -18,9 +18,13 @@
 
 const hourMs = 3_600_000;
 
-function changed(document: EnvironmentDocument, at: number, tokens: number): EnvironmentDocument {
+function withOpeningTokens(
+  document: EnvironmentDocument,
+  accountIndex: number,
+  tokens: number,
+): EnvironmentDocument {
   const accounts = document.accounts.map((account, index) =>
-    index === at
+    index === accountIndex
       ? {
           ...account,
           budgets: account.budgets.map((budget) => ({ ...budget, openingTokens: tokens })),
@@ -30,12 +34,12 @@
   return { ...document, accounts };
 }
 
-/** Lets one side wait until the other has come to a point. */
+/** Lets one task wait until another one has reached a point. */
 function createLatch() {
   const latch = new AbortController();
-  const isOpen = once(latch.signal, 'abort');
+  const opened = once(latch.signal, 'abort');
   return {
-    isOpen,
+    opened: opened,
     open: () => {
       latch.abort();
     },
@@ -45,8 +49,8 @@
 function setUp() {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
-  const open = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
-  const store = open();
+  const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
+  const store = openStore();
   const accept = (document: EnvironmentDocument) =>
     clock.runUntil(
       acceptParsedDocument(store, clock, document, digestText(JSON.stringify(document)), {
@@ -55,21 +59,21 @@
     );
   const objects = () =>
     platform.objects().filter(({ key }) => key.startsWith('config/kapiti/objects/')).length;
-  return { clock, store, open, accept, objects };
+  return { clock, store, openStore, accept, objects };
 }
 
-// Nineteen thousand changes a day would fill the store if each left its objects behind; and a
-// collection that removes too much shows as a rollback that fails in the hour of need.
-test('objects of old versions go, and every kept version stays whole', async (t) => {
+// Guards against garbage that fills the store (nineteen thousand changes a day each write new objects),
+// and against a collection that removes too much, so that a rollback fails when it is needed.
+test('objects of old versions are removed, and every kept version stays complete', async (t) => {
   const { clock, store, accept, objects } = setUp();
   const document = makeDocument({ accounts: 60, budgetsPerAccount: 20 });
   await accept(document);
-  const atFirst = objects();
+  const initialObjects = objects();
   for (let round = 1; round <= 60; round += 1) {
     await clock.advance(hourMs);
-    await accept(changed(document, round % 60, round));
+    await accept(withOpeningTokens(document, round % 60, round));
   }
-  t.true(objects() < atFirst + 60, `${objects()} objects, ${atFirst} at first`);
+  t.true(objects() < initialObjects + 60, `${objects()} objects, ${initialObjects} initially`);
   const manifest = await readManifest(store, 'kapiti');
   t.is(manifest.previous.length, maxPreviousVersions);
   const source = new StoreConfigurationObjects(store, 'kapiti');
@@ -78,23 +82,28 @@
   }
 });
 
-// A document is taken back to what it was a year ago. Its objects are old, and garbage until the
-// manifest names them again. A colleague's collection has just found them, and removes them after
-// that acceptance: instances would then refuse to load the version in force.
-test('garbage that an acceptance takes up again is not removed by a collection under way', async (t) => {
-  const { clock, store, accept, open } = setUp();
+// Guards against a version in force that instances cannot load. A document is changed back to what it
+// was a year ago; its old objects are garbage until the manifest refers to them again. The garbage
+// collection of another operator has just listed them and would remove them after that acceptance.
+test('garbage that an acceptance reuses is not removed by a concurrent collection', async (t) => {
+  const { clock, store, accept, openStore: open } = setUp();
   const first = makeDocument({ accounts: 3, budgetsPerAccount: 2 });
   await accept(first);
-  for (let round = 1; round <= 10; round += 1) await accept(changed(first, 0, round));
+  for (let round = 1; round <= 10; round += 1) await accept(withOpeningTokens(first, 0, round));
   await clock.advance(2 * hourMs);
-  const colleague = open();
-  let takenUp: Promise<Acceptance> | undefined;
-  colleague.faults.beforeRemove = async () => {
-    takenUp ??= acceptParsedDocument(store, clock, first, digestText('first again'));
-    await takenUp;
+  const otherStore = open();
+  let secondAcceptance: Promise<Acceptance> | undefined;
+  otherStore.faults.beforeRemove = async () => {
+    secondAcceptance ??= acceptParsedDocument(store, clock, first, digestText('first again'));
+    await secondAcceptance;
   };
-  await acceptParsedDocument(colleague, clock, changed(first, 1, 7), digestText('colleague'));
-  const accepted = await takenUp;
+  await acceptParsedDocument(
+    otherStore,
+    clock,
+    withOpeningTokens(first, 1, 7),
+    digestText('colleague'),
+  );
+  const accepted = await secondAcceptance;
   t.is(accepted?.outcome, 'accepted');
   const source = new StoreConfigurationObjects(store, 'kapiti');
   const manifest = await readManifest(store, 'kapiti');
@@ -102,41 +111,51 @@
   await t.notThrowsAsync(loadConfiguration(source, manifest.root));
 });
 
-// An acceptance has written its objects and not yet the manifest. A colleague's collection sees
-// objects that nothing refers to.
-test('objects of an acceptance under way are not removed', async (t) => {
-  const { clock, store, accept, open } = setUp();
+// Guards against removing the objects of an acceptance that has not written its manifest yet: the
+// garbage collection of another operator sees objects that nothing refers to.
+test('objects of an acceptance in progress are not removed', async (t) => {
+  const { clock, store, accept, openStore: open } = setUp();
   const first = makeDocument({ accounts: 3, budgetsPerAccount: 2 });
   await accept(first);
-  const colleague = open();
-  const isPrepared = createLatch();
-  const isCollected = createLatch();
+  const otherStore = open();
+  const objectsWritten = createLatch();
+  const collectionDone = createLatch();
   store.faults.beforeWrite = async (key) => {
     if (!key.endsWith('manifest')) return;
-    isPrepared.open();
-    await isCollected.isOpen;
+    objectsWritten.open();
+    await collectionDone.opened;
   };
-  let underWay: Promise<Acceptance> | undefined;
-  colleague.faults.beforeList = async () => {
-    underWay = acceptParsedDocument(store, clock, changed(first, 2, 9), digestText('under way'));
-    await isPrepared.isOpen;
+  let pendingAcceptance: Promise<Acceptance> | undefined;
+  otherStore.faults.beforeList = async () => {
+    pendingAcceptance = acceptParsedDocument(
+      store,
+      clock,
+      withOpeningTokens(first, 2, 9),
+      digestText('under way'),
+    );
+    await objectsWritten.opened;
   };
-  await acceptParsedDocument(colleague, clock, changed(first, 1, 7), digestText('colleague'));
-  isCollected.open();
-  t.is((await underWay)?.accepted.version, 3);
+  await acceptParsedDocument(
+    otherStore,
+    clock,
+    withOpeningTokens(first, 1, 7),
+    digestText('colleague'),
+  );
+  collectionDone.open();
+  t.is((await pendingAcceptance)?.accepted.version, 3);
   const source = new StoreConfigurationObjects(store, 'kapiti');
   const manifest = await readManifest(store, 'kapiti');
   await t.notThrowsAsync(loadConfiguration(source, manifest.root));
 });
 
-test('one changed account of many costs few objects to write, to fetch and to compare', async (t) => {
+test('a change of one account among many writes, fetches and compares few objects', async (t) => {
   const { clock, store, accept } = setUp();
   const document = makeDocument({ accounts: 230, budgetsPerAccount: 50 });
   const { manifest: before } = await accept(document);
   const watcher = new ConfigurationWatcher({ store, clock, environment: 'kapiti' });
   await clock.runUntil(watcher.refresh());
   Object.assign(store, { writes: 0, reads: 0 });
-  const { manifest } = await accept(changed(document, 100, 9));
+  const { manifest } = await accept(withOpeningTokens(document, 100, 9));
   t.true(store.writes <= 5, `${store.writes} writes`);
   store.reads = 0;
   await clock.runUntil(watcher.refresh());
--- a/packages/standins/src/configuration/watcher/test.ts
+++ b/packages/standins/src/configuration/watcher/test.ts
@@ -10,13 +10,13 @@
   type ConfigurationWatcherOptions,
 } from '@acaciacrank/operators';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { makeDocument, markedText, markOf } from '../_lib/configurationDocument/index.js';
+import { makeDocument, markedText, openingTokensOf } from '../_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../_lib/FaultyObjectStore/index.js';
 
 const inForceWithinMs = 10_000;
 
-/** The objects of another watcher, as a fleet link gives them. */
-class PeerObjects extends ConfigurationObjects {
+/** Reads configuration objects from another watcher, as an instance does over a link to a peer. */
+class PeerConfigurationObjects extends ConfigurationObjects {
   readonly #peer: ConfigurationWatcher;
 
   constructor(peer: ConfigurationWatcher) {
@@ -32,11 +32,14 @@
 function setUp() {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
-  const open = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
-  const operator = open();
-  const accept = (mark: number) =>
-    clock.runUntil(acceptDocument(operator, clock, markedText(mark)));
-  const watch = (store: FaultyObjectStore, options: Partial<ConfigurationWatcherOptions> = {}) =>
+  const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
+  const operator = openStore();
+  const accept = (openingTokens: number) =>
+    clock.runUntil(acceptDocument(operator, clock, markedText(openingTokens)));
+  const createWatcher = (
+    store: FaultyObjectStore,
+    options: Partial<ConfigurationWatcherOptions> = {},
+  ) =>
     new ConfigurationWatcher({
       store,
       clock,
@@ -45,10 +48,10 @@
       random: () => 0.5,
       ...options,
     });
-  return { clock, open, operator, accept, watch };
+  return { clock, openStore, operator, accept, createWatcher };
 }
 
-function versionsSeen(watcher: ConfigurationWatcher): number[] {
+function recordVersions(watcher: ConfigurationWatcher): number[] {
   const seen: number[] = [];
   watcher.inForce.changes.subscribe({
     next: (inForce) => {
@@ -60,34 +63,34 @@
   return seen;
 }
 
-// A watch answers and the change is in force; then a cache answers reads with what it had before.
-// An account that was added stays known.
-test('a stale read does not take back a newer version', async (t) => {
-  const { clock, open, accept, watch } = setUp();
-  const store = open();
+// Guards against an added account becoming unknown again. A watch reports a change and it comes into
+// force; then a stale cache returns the previous version to reads.
+test('a stale read does not revert a newer version', async (t) => {
+  const { clock, openStore, accept, createWatcher } = setUp();
+  const store = openStore();
   await accept(10);
-  const watcher = watch(store);
-  const seen = versionsSeen(watcher);
+  const watcher = createWatcher(store);
+  const seen = recordVersions(watcher);
   await clock.runUntil(watcher.start());
   store.faults.isStale = true;
   await accept(20);
   await clock.advance(30_000);
   t.deepEqual(seen, [1, 2]);
-  t.is(markOf(watcher.current().index), 20);
+  t.is(openingTokensOf(watcher.current().index), 20);
   await watcher[Symbol.asyncDispose]();
 });
 
-// An instance acts on version 2 and is restarted. It remembers nothing, and its first read is
-// answered from a cache that holds version 1. Acting on it would take a promotion back.
-test('a restarted instance does not begin with a version that a cache remembers', async (t) => {
-  const { clock, open, accept, watch } = setUp();
-  const store = open();
+// Guards against a restart that reverts a promotion. An instance that applied version 2 keeps nothing
+// over a restart, and its first read may come from a stale cache that holds version 1.
+test('a restarted instance does not start with an old version from a stale cache', async (t) => {
+  const { clock, openStore, accept, createWatcher } = setUp();
+  const store = openStore();
   await accept(10);
   await store.read('config/kapiti/manifest');
   await accept(20);
   store.faults.isStale = true;
-  const watcher = watch(store);
-  const seen = versionsSeen(watcher);
+  const watcher = createWatcher(store);
+  const seen = recordVersions(watcher);
   const started = watcher.start();
   await clock.advance(8_000);
   t.deepEqual(seen, []);
@@ -97,36 +100,37 @@
   await watcher[Symbol.asyncDispose]();
 });
 
-// The connection of the watch falls silent for good: no answer, no error. The change must not wait
-// for a time-out of the system's.
-test('a change comes into force though the watch fell silent', async (t) => {
-  const { clock, open, accept, watch } = setUp();
-  const store = open();
+// Guards against a change that waits for a time-out of the operating system: the connection of the
+// watch hangs for good, with neither a response nor an error.
+test('a change comes into force although the watch hangs', async (t) => {
+  const { clock, openStore, accept, createWatcher } = setUp();
+  const store = openStore();
   await accept(10);
-  const watcher = watch(store);
+  const watcher = createWatcher(store);
   await clock.runUntil(watcher.start());
   store.faults.isWatchSilent = true;
   await clock.advance(1_000);
-  for (const mark of [20, 30, 40]) {
-    await accept(mark);
+  for (const openingTokens of [20, 30, 40]) {
+    await accept(openingTokens);
     await clock.advance(inForceWithinMs);
-    t.is(markOf(watcher.current().index), mark);
+    t.is(openingTokensOf(watcher.current().index), openingTokens);
   }
   await watcher[Symbol.asyncDispose]();
 });
 
-// A region is cut off for minutes while three changes are promoted. When it heals, the instance
-// takes up the last one, and a peer that is still behind cannot take it back.
+// Guards against an old version after a network partition. A region is partitioned for minutes while
+// three changes are promoted. Afterwards the instance applies the last one, and a peer that is still
+// behind cannot revert it.
 test('after a partition the latest version is in force and stays', async (t) => {
-  const { clock, open, operator, accept, watch } = setUp();
-  const store = open();
+  const { clock, openStore, operator, accept, createWatcher } = setUp();
+  const store = openStore();
   await accept(10);
   const old = await readManifest(operator, 'kapiti');
-  const watcher = watch(store);
-  const seen = versionsSeen(watcher);
+  const watcher = createWatcher(store);
+  const seen = recordVersions(watcher);
   await clock.runUntil(watcher.start());
   store.faults.isDown = true;
-  for (const mark of [20, 30, 40]) await accept(mark);
+  for (const openingTokens of [20, 30, 40]) await accept(openingTokens);
   await clock.advance(180_000);
   t.is(watcher.current().version, 1);
   t.truthy(watcher.problem);
@@ -138,37 +142,38 @@
   await watcher[Symbol.asyncDispose]();
 });
 
-// One instance read the change, then the store went down. The others get the manifest and its
-// objects over the links.
-test('with the store down, a change comes from a peer with its objects', async (t) => {
-  const { clock, open, accept, watch } = setUp();
+// Guards against a change that reaches only one instance: that one reads it, then the store goes down.
+// The others receive the manifest and its objects over the links.
+test('while the store is down, a peer provides a change and its objects', async (t) => {
+  const { clock, openStore, accept, createWatcher } = setUp();
   await accept(10);
-  const informed = watch(open());
-  await clock.runUntil(informed.start());
-  const store = open();
-  const watcher = watch(store, { peers: new PeerObjects(informed) });
+  const peer = createWatcher(openStore());
+  await clock.runUntil(peer.start());
+  const store = openStore();
+  const watcher = createWatcher(store, { peers: new PeerConfigurationObjects(peer) });
   await clock.runUntil(watcher.start());
   store.faults.isDown = true;
   await accept(20);
   await clock.advance(100);
-  t.true(await clock.runUntil(watcher.offer(informed.current().manifest)));
-  t.is(markOf(watcher.current().index), 20);
-  t.is(watcher.objectText(informed.current().manifest.root.settings)?.includes('kapiti'), true);
-  for (const each of [informed, watcher]) await each[Symbol.asyncDispose]();
+  t.true(await clock.runUntil(watcher.offer(peer.current().manifest)));
+  t.is(openingTokensOf(watcher.current().index), 20);
+  t.is(watcher.objectText(peer.current().manifest.root.settings)?.includes('kapiti'), true);
+  for (const item of [peer, watcher]) await item[Symbol.asyncDispose]();
 });
 
-// The store's connections fell silent, and a change of a large document is several objects deep.
-// Waiting for the store at each of them would take longer than a change may take.
-test('a peer gives the objects without a wait for the silent store at each', async (t) => {
-  const { clock, open, operator, watch } = setUp();
+// Guards against a slow change while the store's connections hang. The change of a large document
+// is a tree of objects several levels deep; a time-out of the store at each of them would take longer
+// than a change may take.
+test('objects are read from a peer without a store time-out for each of them', async (t) => {
+  const { clock, openStore, operator, createWatcher } = setUp();
   const document = makeDocument({ accounts: 400, budgetsPerAccount: 100 });
   const accept = (digest: string) =>
     clock.runUntil(acceptParsedDocument(operator, clock, document, digestText(digest)));
   await accept('first');
-  const informed = watch(open());
-  const store = open();
-  const watcher = watch(store, { peers: new PeerObjects(informed) });
-  for (const each of [informed, watcher]) await clock.runUntil(each.start());
+  const peer = createWatcher(openStore());
+  const store = openStore();
+  const watcher = createWatcher(store, { peers: new PeerConfigurationObjects(peer) });
+  for (const item of [peer, watcher]) await clock.runUntil(item.start());
   Object.assign(store.faults, { isReadSilent: true, isWatchSilent: true });
   await clock.advance(100);
   for (const account of document.accounts.slice(0, 40))
@@ -176,28 +181,31 @@
   await accept('second');
   await clock.advance(100);
   const startMs = clock.monotonicMs();
-  t.true(await clock.runUntil(watcher.offer(informed.current().manifest)));
+  t.true(await clock.runUntil(watcher.offer(peer.current().manifest)));
   const tookMs = clock.monotonicMs() - startMs;
   t.true(tookMs <= 2_000, `${tookMs} ms`);
-  for (const each of [informed, watcher]) await each[Symbol.asyncDispose]();
+  for (const item of [peer, watcher]) await item[Symbol.asyncDispose]();
 });
 
-// An instance is replaced during an outage of the store. It cannot know which version its former
-// life acted on, so it waits; where the operator allows it, it begins with the highest that peers
-// have.
+// Guards against an instance that starts with an older version than its previous process run applied.
+// During a store outage it cannot know that version, so it waits; where the operator allows it, it
+// starts with the highest version of its peers.
 for (const mayStartFromPeers of [false, true]) {
-  const what = mayStartFromPeers ? "begins with the highest of its peers'" : 'waits';
-  test(`an instance that starts with the store down ${what}`, async (t) => {
-    const { clock, open, operator, accept, watch } = setUp();
+  const behaviour = mayStartFromPeers ? 'starts with the highest version of its peers' : 'waits';
+  test(`an instance that starts while the store is down ${behaviour}`, async (t) => {
+    const { clock, openStore, operator, accept, createWatcher } = setUp();
     await accept(10);
     const old = await readManifest(operator, 'kapiti');
     await accept(20);
-    const peer = watch(open());
+    const peer = createWatcher(openStore());
     await clock.runUntil(peer.start());
-    const store = open();
+    const store = openStore();
     store.faults.isDown = true;
-    const watcher = watch(store, { peers: new PeerObjects(peer), mayStartFromPeers });
-    const seen = versionsSeen(watcher);
+    const watcher = createWatcher(store, {
+      peers: new PeerConfigurationObjects(peer),
+      mayStartFromPeers,
+    });
+    const seen = recordVersions(watcher);
     await clock.runUntil(watcher.start());
     await watcher.offer(old);
     await watcher.offer(peer.current().manifest);
@@ -206,18 +214,18 @@
     store.faults.isDown = false;
     await clock.advance(inForceWithinMs);
     t.deepEqual(seen, [2]);
-    for (const each of [peer, watcher]) await each[Symbol.asyncDispose]();
+    for (const item of [peer, watcher]) await item[Symbol.asyncDispose]();
   });
 }
 
-// An object of a new version is damaged in the store. The instance keeps to the old version whole,
-// says what is wrong, and takes up the next good one.
-test('a version that does not load is not half applied', async (t) => {
-  const { clock, open, operator, accept, watch } = setUp();
+// Guards against a partly applied version when one of its objects is damaged in the store. The
+// instance keeps the old version, reports the problem, and applies the next valid version.
+test('a version that does not load is not partly applied', async (t) => {
+  const { clock, openStore, operator, accept, createWatcher } = setUp();
   await accept(10);
-  const store = open();
-  const watcher = watch(store);
-  const seen = versionsSeen(watcher);
+  const store = openStore();
+  const watcher = createWatcher(store);
+  const seen = recordVersions(watcher);
   await clock.runUntil(watcher.start());
   store.faults.isDown = true;
   const { manifest } = await accept(20);
@@ -226,7 +234,7 @@
   store.faults.isDown = false;
   await clock.advance(inForceWithinMs);
   t.deepEqual(seen, [1]);
-  t.is(markOf(watcher.current().index), 10);
+  t.is(openingTokensOf(watcher.current().index), 10);
   t.deepEqual(
     [watcher.problem?.version, /damaged/.test(watcher.problem?.message ?? '')],
     [2, true],
