--- a/packages/routing/src/AdmissionQueue/index.ts
+++ b/packages/routing/src/AdmissionQueue/index.ts
@@ -57,10 +57,10 @@
  * Admission control with a queue per service: serves classes in order of priority and the accounts of a
  * class in turn.
  *
- * A request that is predicted to miss the deadline for its first token is refused early, as not run and
- * with a retry-after time: on arrival, or later as soon as its predicted wait becomes too long. Higher
- * classes are served first, so load shedding affects the lowest class first and the highest only when
- * that class alone exceeds the limit.
+ * A request that is predicted to miss the deadline for its first token is refused early, with
+ * `ran: 'notRun'` and a retry-after time: on arrival, or later as soon as its predicted wait becomes too
+ * long. Higher classes are served first, so load shedding affects the lowest class first and the highest
+ * only when that class alone exceeds the limit.
  */
 export class AdmissionQueue {
   readonly #options: AdmissionQueueOptions;
@@ -121,7 +121,7 @@
     const limit = this.#limit(service);
     const predictedMs = queue.predictWaitMs(priority, accountId, limit, nowMs);
     const lateMs = predictedMs - this.#maxSlotWaitMs(request);
-    if (lateMs > 0) throw this.#createRefusal(service, `no place within ${waitMs} ms`, lateMs);
+    if (lateMs > 0) throw this.#createRefusal(service, `no free slot within ${waitMs} ms`, lateMs);
   }
 
   /** If the queue is full, refuses the least important request, which may be the new one. */
@@ -194,7 +194,7 @@
     const nowMs = this.#options.clock.monotonicMs();
     for (const { item, waitMs } of queue.predictWaits(this.#limit(service), nowMs)) {
       const remainingMs = item.latestStartMs - nowMs;
-      const message = `no place within ${item.request.waitMs} ms`;
+      const message = `no free slot within ${item.request.waitMs} ms`;
       if (remainingMs <= 0) item.refuse(new RouterError('deadlineExceeded', message));
       else if (waitMs > remainingMs * lateToleranceFactor) {
         item.refuse(this.#createRefusal(service, message, waitMs - remainingMs));
--- a/packages/routing/src/AdmissionQueue/test.ts
+++ b/packages/routing/src/AdmissionQueue/test.ts
@@ -28,7 +28,7 @@
   const clock = new ManualClock();
   const queue = new AdmissionQueue({ clock, limit: () => 0 });
   const refused = t.throwsAsync(queue.admit(request(0, 50)), {
-    message: /no place within 50 ms/,
+    message: /no free slot within 50 ms/,
   });
   await clock.advance(50);
   await refused;
@@ -84,7 +84,7 @@
 
 // Guards against refusing a request only at its deadline when the queue is already too long on arrival:
 // the caller would lose the time to try another instance.
-test('a request that would be late is refused on arrival, as not run and with a retry-after time', async (t) => {
+test('a request that would be late is refused on arrival, marked as not run and with a retry-after time', async (t) => {
   const { clock, refused, call, warmUp } = createHarness();
   await warmUp(40, 100);
   for (let index = 0; index < 30; index += 1) void call(`first${index}`, { holdMs: 100 });
--- a/packages/routing/src/LeastReportedLoad/index.ts
+++ b/packages/routing/src/LeastReportedLoad/index.ts
@@ -21,7 +21,7 @@
  * @returns undefined if there are no upstreams
  *
  * @example
- * leastBy(upstreams, ({ inFlightRequests }) => inFlightRequests);
+ * minBy(upstreams, ({ inFlightRequests }) => inFlightRequests);
  */
 export function minBy(
   upstreams: readonly Upstream[],
--- a/packages/routing/src/PrefillTimeModel/index.ts
+++ b/packages/routing/src/PrefillTimeModel/index.ts
@@ -12,9 +12,9 @@
   readonly elapsedMs: number;
 }
 
-/** The result of a fit, for logs. */
+/** The result of a fit. The fields have the names used in logs, where prefill is called `read`. */
 export interface PrefillTimeFit {
-  /** Number of samples observed so far. */
+  /** Number of prefills observed so far. */
   readonly reads: number;
   /** Milliseconds per prompt, per thousand new tokens, and per million pairs of attended tokens. */
   readonly readMs: readonly number[];
--- a/packages/routing/src/PrefixAffinity/test.ts
+++ b/packages/routing/src/PrefixAffinity/test.ts
@@ -18,7 +18,7 @@
     engine: undefined,
     plain: undefined,
     inFlightRequests: 0,
-    sentSinceReport: 0,
+    inFlightDelta: 0,
     lagCorrection: 0,
     report: {
       upstreamId: id as UpstreamId,
@@ -44,49 +44,49 @@
 const seeds = Array.from({ length: 50 }, (_, index) => index);
 
 test('a prefix stays at its upstream until the load there is clearly higher', (t) => {
-  const choice = new PrefixAffinity();
+  const selector = new PrefixAffinity();
   const upstreams = createUpstreams();
-  const holder = choice.choose(upstreams, context(1));
+  const holder = selector.choose(upstreams, context(1));
   if (holder === undefined) throw new Error('no upstream chosen');
-  holder.sentSinceReport = 1;
-  t.true(seeds.every((seed) => choice.choose(upstreams, context(seed)) === holder));
-  holder.sentSinceReport = 2;
-  t.not(choice.choose(upstreams, context(2)), holder);
+  holder.inFlightDelta = 1;
+  t.true(seeds.every((seed) => selector.choose(upstreams, context(seed)) === holder));
+  holder.inFlightDelta = 2;
+  t.not(selector.choose(upstreams, context(2)), holder);
 });
 
 // Guards against prefix affinity to an engine that has restarted under the same id: its cache is empty,
 // so callers would see slow first tokens.
 test('a restarted upstream is no longer preferred for its earlier prefixes', (t) => {
-  const choice = new PrefixAffinity();
+  const selector = new PrefixAffinity();
   const upstreams = createUpstreams();
-  const holder = choice.choose(upstreams, context(1));
+  const holder = selector.choose(upstreams, context(1));
   if (holder === undefined) throw new Error('no upstream chosen');
   holder.incarnation += 1;
-  holder.sentSinceReport = 1;
-  t.not(choice.choose(upstreams, context(2)), holder);
+  holder.inFlightDelta = 1;
+  t.not(selector.choose(upstreams, context(2)), holder);
 });
 
 test('a cache event removes an evicted prefix and does not add an unknown one', (t) => {
-  const choice = new PrefixAffinity();
+  const selector = new PrefixAffinity();
   const upstreams = createUpstreams();
-  const holder = choice.choose(upstreams, context(1));
+  const holder = selector.choose(upstreams, context(1));
   if (holder === undefined) throw new Error('no upstream chosen');
-  holder.sentSinceReport = 1;
-  choice.handleCacheEvent(holder, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
-  t.not(choice.choose(upstreams, context(2)), holder);
-  choice.handleCacheEvent(holder, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
-  t.not(choice.choose(upstreams, context(2, 8)), holder);
+  holder.inFlightDelta = 1;
+  selector.handleCacheEvent(holder, { kind: 'evicted', prefixHash: 7, sequence: 1, atMs: 0 });
+  t.not(selector.choose(upstreams, context(2)), holder);
+  selector.handleCacheEvent(holder, { kind: 'stored', prefixHash: 8, sequence: 2, atMs: 0 });
+  t.not(selector.choose(upstreams, context(2, 8)), holder);
 });
 
 // Guards against an engine that accepts requests without ever answering: its report shows no load, so a
 // choice by reports alone would send it everything. In-flight requests of this instance count as load.
 test('an upstream that reports no load while requests accumulate there is not preferred', (t) => {
-  const choice = new PrefixAffinity({ sampleSize: 12 });
-  const upstreams = createUpstreams().map((other) => ({ ...other, sentSinceReport: 3 }));
+  const selector = new PrefixAffinity({ sampleSize: 12 });
+  const upstreams = createUpstreams().map((other) => ({ ...other, inFlightDelta: 3 }));
   const unresponsive = { ...upstream('mute'), inFlightRequests: 9 };
   t.true(
     seeds.every(
-      (seed) => choice.choose([unresponsive, ...upstreams], context(seed)) !== unresponsive,
+      (seed) => selector.choose([unresponsive, ...upstreams], context(seed)) !== unresponsive,
     ),
   );
 });
--- a/packages/routing/src/RetryBudget/index.ts
+++ b/packages/routing/src/RetryBudget/index.ts
@@ -37,7 +37,7 @@
  * Prevents retry storms: when an upstream fails, retrying every failed request would multiply the load
  * just when capacity is short. With the budget, retries stay a small fraction of first attempts. Classes
  * have separate buckets, so that failing low-priority requests cannot use up the retries of the highest
- * class.
+ * class. `RetryShare` limits the retries of a whole service instead.
  */
 export class RetryBudget {
   readonly #options: Required<RetryBudgetOptions>;
--- a/packages/routing/src/RetryShare/index.ts
+++ b/packages/routing/src/RetryShare/index.ts
@@ -25,6 +25,7 @@
  * Prevents retry storms: when a service fails, retrying every failed request would multiply the load just
  * when capacity is short. In every sliding window, each instance limits its retries by its own requests
  * and its share of the additional retries, so that the total is bounded without communication.
+ * `RetryBudget` limits the retries for each upstream and class instead.
  */
 export class RetryShare {
   readonly #options: RetryShareOptions;
--- a/packages/routing/src/UpstreamRegistry/index.ts
+++ b/packages/routing/src/UpstreamRegistry/index.ts
@@ -104,15 +104,16 @@
    */
   async refresh(): Promise<void> {
     const list = await this.#options.list.read();
+    // The list contains the instances of this router with the role `entry`, and the upstreams.
     this.#liveInstances = list
       .filter(({ role, state }) => role === 'entry' && state === 'live')
       .map(({ id }) => id);
-    const wanted = this.#selectListed(list.filter(({ role }) => role !== 'entry'));
+    const selected = this.#selectListed(list.filter(({ role }) => role !== 'entry'));
     for (const [id, entry] of this.#entries) {
       // The same id at another address is a new process without the old streams and cache.
-      if (wanted.get(id)?.url !== entry.listed.url) this.#removeEntry(entry);
+      if (selected.get(id)?.url !== entry.listed.url) this.#removeEntry(entry);
     }
-    for (const listed of wanted.values()) this.#upsertEntry(listed);
+    for (const listed of selected.values()) this.#upsertEntry(listed);
   }
 
   /**
@@ -217,7 +218,7 @@
       engine: listed.role === 'engine' ? clients.engine(listed) : undefined,
       plain: listed.role === 'service' ? clients.service(listed) : undefined,
       inFlightRequests: 0,
-      sentSinceReport: 0,
+      inFlightDelta: 0,
       lagCorrection: 0,
       report: undefined,
       state: listed.state,
@@ -336,7 +337,7 @@
       entry.lastCacheSequence = 0;
     }
     if (report.measuredAtMs !== previous?.measuredAtMs) this.#applyNewReport(entry, report);
-    upstream.sentSinceReport = sent.net;
+    upstream.inFlightDelta = sent.net;
     this.#updatePool(entry);
   }
 
@@ -469,7 +470,7 @@
   #recordChange(by: 1 | -1): void {
     const { upstream, sent } = this.#entry;
     sent.record(by, this.#context.clock.wallMs());
-    upstream.sentSinceReport = sent.net;
+    upstream.inFlightDelta = sent.net;
     this.#context.pool.update(upstream);
   }
 }
--- a/packages/routing/src/UpstreamRegistry/test.ts
+++ b/packages/routing/src/UpstreamRegistry/test.ts
@@ -116,9 +116,9 @@
   // The report arrives 300 ms late and does not include the last two requests.
   await clock.advance(300);
   t.is(first.report?.runningRequests, 1);
-  t.is(first.sentSinceReport, 2);
+  t.is(first.inFlightDelta, 2);
   earlier[Symbol.dispose]();
-  t.is(first.sentSinceReport, 1);
+  t.is(first.inFlightDelta, 1);
 });
 
 // Guards against mixing up an engine and its replacement with the same id at another address: streams of
@@ -180,10 +180,10 @@
   outcome: 'answered' | 'upstreamFailed' | 'upstreamUnavailable',
   elapsedMs = 100,
 ): Promise<void> {
-  using use = registry.begin(upstream, 1);
+  using inFlight = registry.begin(upstream, 1);
   await clock.advance(elapsedMs);
-  if (outcome === 'answered') use.progress();
-  else use.failed(new RouterError(outcome, 'simulated failure'));
+  if (outcome === 'answered') inFlight.progress();
+  else inFlight.failed(new RouterError(outcome, 'simulated failure'));
 }
 
 function candidateIds(registry: UpstreamRegistry): string[] {
--- a/packages/routing/src/_lib/ServicePool/index.ts
+++ b/packages/routing/src/_lib/ServicePool/index.ts
@@ -29,6 +29,7 @@
 
   /** Limit for this instance's in-flight requests at all upstreams combined. */
   get slots(): number {
+    // The addend makes up for rounding errors of the incrementally updated sum.
     return Math.floor(this.#totalSlots + 1e-9);
   }
 
--- a/packages/routing/src/_lib/ServiceQueue/index.ts
+++ b/packages/routing/src/_lib/ServiceQueue/index.ts
@@ -37,7 +37,8 @@
   readonly #classes: PriorityClass<Item>[] = [];
   readonly #releases: DecayingRate;
   #meanHoldMs = initialHoldMs;
-  #fullSinceMs: number | undefined;
+  /** Since when items have been waiting without interruption; undefined if none is waiting. */
+  #waitingSinceMs: number | undefined;
   #taken = 0;
   #waiting = 0;
 
@@ -74,7 +75,7 @@
   push(item: Item, nowMs: number): void {
     this.#class(item.priority, nowMs).queue.push(item);
     this.#waiting += 1;
-    this.#fullSinceMs ??= nowMs;
+    this.#waitingSinceMs ??= nowMs;
   }
 
   /** Removes and returns the next item of the highest-priority non-empty class. */
@@ -130,7 +131,7 @@
 
   #onItemRemoved(): void {
     this.#waiting -= 1;
-    if (this.#waiting === 0) this.#fullSinceMs = undefined;
+    if (this.#waiting === 0) this.#waitingSinceMs = undefined;
   }
 
   /** Rate at which slots become available to a priority. */
@@ -147,7 +148,8 @@
    */
   #releasedSlotsPerMs(limit: number, nowMs: number): number {
     const measuredPerMs = this.#releases.perMs(nowMs);
-    const isSaturated = this.#fullSinceMs !== undefined && nowMs - this.#fullSinceMs > rateWindowMs;
+    const isSaturated =
+      this.#waitingSinceMs !== undefined && nowMs - this.#waitingSinceMs > rateWindowMs;
     return isSaturated ? measuredPerMs : Math.max(measuredPerMs, limit / this.#meanHoldMs);
   }
 
--- a/packages/routing/src/chooseSubset/index.ts
+++ b/packages/routing/src/chooseSubset/index.ts
@@ -54,7 +54,10 @@
   return new Set(upstreamIds.filter(isSelected));
 }
 
-/** Combines two hashes. Must be cheap because it runs for every pair of instance and upstream. */
+/**
+ * Combines two hashes, with the multipliers of Fibonacci hashing and of MurmurHash3's finalizer. Must be
+ * cheap because it runs for every pair of instance and upstream.
+ */
 function combineHashes(a: number, b: number): number {
   let mixed = Math.imul(a ^ (b >>> 15) ^ Math.imul(b, 0x9e3779b1), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
--- a/packages/routing/src/estimateLoad/index.ts
+++ b/packages/routing/src/estimateLoad/index.ts
@@ -15,9 +15,9 @@
  * //=> 0.75
  */
 export function estimateLoad(upstream: Upstream): number {
-  const { report, inFlightRequests, sentSinceReport, lagCorrection } = upstream;
+  const { report, inFlightRequests, inFlightDelta, lagCorrection } = upstream;
   if (report === undefined) return inFlightRequests;
   const reportedRequests = report.runningRequests + report.waitingRequests;
-  const reported = reportedRequests + sentSinceReport + lagCorrection;
+  const reported = reportedRequests + inFlightDelta + lagCorrection;
   return Math.max(reported, inFlightRequests) / Math.max(1, report.maxRunningRequests);
 }
--- a/packages/routing/src/placePrompt/test.ts
+++ b/packages/routing/src/placePrompt/test.ts
@@ -26,7 +26,8 @@
     if (placement === undefined) return t.fail();
     const { id, backlogMs } = placement.engine;
     if (holders.size > 0 && !holders.has(id)) t.true(holders.has(placement.holder?.id ?? ''));
-    // No prompt waits longer than prefilling the part at another engine would take.
+    // No prompt waits longer than prefilling the part at another engine would take; the 60 ms allow for
+    // the rank costs, which are at most 11 times 5 ms.
     const leastBacklogMs = Math.min(...engines.map((one) => one.backlogMs));
     t.true(backlogMs <= leastBacklogMs + prompt.sharedPartsMs + 60);
     const readMs = 50 + (placement.holder === undefined ? 0 : prompt.sharedPartsMs);
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -18,8 +18,8 @@
   readonly plain: ServiceClient | undefined;
   /** Number of in-flight requests of this instance at the upstream. */
   inFlightRequests: number;
-  /** Requests of this instance started minus ended there since the last report was measured. */
-  sentSinceReport: number;
+  /** Change of `inFlightRequests` since the last report was measured: requests started minus ended. */
+  inFlightDelta: number;
   /**
    * Added to the reported requests because the reported requests of other instances are out of date:
    * moves them towards their mean over the service's upstreams, the further the older the report is.
