--- a/packages/operators/src/ConfigurationWatcher/index.ts
+++ b/packages/operators/src/ConfigurationWatcher/index.ts
@@ -299,10 +299,10 @@
       const manifest = this.#highestOffered;
       if (manifest === undefined || !this.#isNewer(manifest)) return;
       try {
-        const known = this.inForce.value?.compiled;
+        const reuseFrom = this.inForce.value?.compiled;
         const fetchedTexts = this.#fetchedTexts;
         const compiled = await loadConfiguration(this.#objects, manifest.root, {
-          reuseFrom: known,
+          reuseFrom,
           fetchedTexts,
         });
         this.#fetchedTexts.clear();
@@ -363,6 +363,7 @@
     let isRefreshed = true;
     try {
       await this.refresh();
+      // A successful read ends a problem without a version; others end when a version comes into force.
       if (this.#problem?.version === undefined) this.#problem = undefined;
     } catch (error) {
       isRefreshed = false;
--- a/packages/operators/src/EnvironmentIndex/index.ts
+++ b/packages/operators/src/EnvironmentIndex/index.ts
@@ -39,7 +39,8 @@
  *
  * Accounts and budgets stay in the trees in which they were loaded. A lookup descends a path of
  * bounded length regardless of the number of budgets, and a new version shares all unchanged nodes
- * with the previous one, so a change does not require all 580,000 budgets to be indexed again.
+ * with the previous one, so a change to an environment with 580,000 budgets does not require all of
+ * them to be indexed again.
  */
 export class EnvironmentIndex {
   readonly settings: EnvironmentSettings;
--- a/packages/operators/src/acceptRoot/index.ts
+++ b/packages/operators/src/acceptRoot/index.ts
@@ -52,7 +52,8 @@
 
 /**
  * Maximum duration of `prepare`, in milliseconds. It is far below the garbage collector's grace
- * period, so that no prepared object is removed before the manifest refers to it.
+ * period, so that no prepared object is removed before the manifest refers to it. If `prepare` takes
+ * longer, the attempt is abandoned and the next one prepares the objects again.
  */
 const maxPrepareMs = 600_000;
 
--- a/packages/operators/src/collectGarbage/index.ts
+++ b/packages/operators/src/collectGarbage/index.ts
@@ -29,7 +29,7 @@
  * listed object is then too new to be removed, or its version changes after the listing and the
  * conditional removal fails, so the object is kept in both cases.
  *
- * Errors of kind RouterError are ignored: a later run finds the same garbage again.
+ * A RouterError ends the run and is not thrown: a later run finds the same garbage again.
  *
  * @param store - the platform's object store
  * @param clock - used to determine the age of objects
--- a/packages/operators/src/environmentSchema/index.ts
+++ b/packages/operators/src/environmentSchema/index.ts
@@ -63,9 +63,9 @@
   minBytesPerToken: z.number().positive().default(1),
   /** Maximum number of tokens of one response. */
   maxOutputTokens: z.number().int().positive().default(4096),
-  /** Whether the engines reject orders with an outdated fencing number. */
+  /** Whether the engines reject orders (what to load, see `holds`) with an outdated fencing number. */
   checksFencing: z.boolean(),
-  /** If absent, the engines are sent no orders. */
+  /** If absent, the engines are not ordered to load models or adapters or to take a role. */
   holds: holds.optional(),
 });
 
@@ -103,8 +103,9 @@
    */
   basedOnVersion: z.number().int().nonnegative().optional(),
   /**
-   * The error to avoid first: Kāpiti chooses overspend, Refugios false refusals. The budget limit
-   * itself is never relaxed.
+   * The error to avoid first. In `examples/`, kapiti chooses `overspend`, because a duplicate charge is
+   * worse for it than a refusal, and refugios `falseRefusals`, because a refused caller goes to a
+   * competitor. The budget limit itself is never relaxed.
    */
   weighs: weighs.default('overspend'),
   /** Ordered by priority, highest first. */
--- a/packages/operators/src/loadConfiguration/index.ts
+++ b/packages/operators/src/loadConfiguration/index.ts
@@ -49,12 +49,14 @@
   root: ConfigurationRoot,
   options: LoadConfigurationOptions = {},
 ): Promise<CompiledEnvironment> {
-  const { reuseFrom: known, fetchedTexts = new Map<string, string>() } = options;
+  const { reuseFrom, fetchedTexts = new Map<string, string>() } = options;
   const loader = new TreeLoader(source, fetchedTexts);
   const [settingsText, accounts, keys] = await Promise.all([
-    known?.root.settings === root.settings ? known.settingsText : loader.text(root.settings),
-    loader.load(root.accounts, known?.accounts),
-    loader.load(root.keys, known?.keys),
+    reuseFrom?.root.settings === root.settings
+      ? reuseFrom.settingsText
+      : loader.text(root.settings),
+    loader.load(root.accounts, reuseFrom?.accounts),
+    loader.load(root.keys, reuseFrom?.keys),
   ]);
   const settings = parseSettingsObject(root.settings, settingsText);
   return { settings, settingsText, accounts, keys, root };
