--- a/packages/fleet/src/ConfigurationGossip/index.ts
+++ b/packages/fleet/src/ConfigurationGossip/index.ts
@@ -97,8 +97,8 @@
     );
     for (const id of [...this.#newerVersions.keys()].reverse().slice(0, maxPeersAsked)) {
       try {
-        const question = { kind: 'configurationObject', digest } as const;
-        const { text } = await rpc.ask(id, question, { timeoutMs });
+        const request = { kind: 'configurationObject', digest } as const;
+        const { text } = await rpc.ask(id, request, { timeoutMs });
         if (text !== undefined) return text;
         lastError = undefined;
       } catch (error) {
@@ -134,15 +134,15 @@
       if (peerId === undefined || this.#isClosed) return;
       askedIds.add(peerId);
       await this.#fetchFrom(peerId);
-      this.#removeOvertaken();
+      this.#pruneNewerVersions();
     }
   }
 
   async #fetchFrom(id: InstanceId): Promise<void> {
     const { rpc, configuration, metrics, timeoutMs = 1_000 } = this.#options;
     try {
-      const question = { kind: 'manifest', aboveVersion: configuration.version() } as const;
-      const { manifest } = await rpc.ask(id, question, { timeoutMs });
+      const request = { kind: 'manifest', aboveVersion: configuration.version() } as const;
+      const { manifest } = await rpc.ask(id, request, { timeoutMs });
       if (manifest === undefined) return;
       const isInForce = await configuration.offer(manifest);
       metrics.count(isInForce ? 'configurationsFromPeers' : 'configurationsFromPeersRefused');
@@ -152,7 +152,8 @@
     }
   }
 
-  #removeOvertaken(): void {
+  /** Removes the peers whose version is no longer above the one in force here. */
+  #pruneNewerVersions(): void {
     const version = this.#options.configuration.version();
     for (const [id, peerVersion] of this.#newerVersions)
       if (peerVersion <= version) this.#newerVersions.delete(id);
--- a/packages/fleet/src/FleetRpc/index.ts
+++ b/packages/fleet/src/FleetRpc/index.ts
@@ -145,10 +145,10 @@
   }
 
   async #handleRequest(
-    { askId, question }: FleetMessageOf<'ask'>,
+    { askId, question: request }: FleetMessageOf<'ask'>,
     from: InstanceId,
   ): Promise<void> {
-    const reply = await this.#createReply(question, from);
+    const reply = await this.#createReply(request, from);
     this.#options.links.send(from, { kind: 'reply', askId, reply });
   }
 
--- a/packages/fleet/src/Membership/index.ts
+++ b/packages/fleet/src/Membership/index.ts
@@ -78,7 +78,7 @@
 const immediateDelayMs = 50;
 /** Minimum interval between two rounds of immediate updates, in milliseconds. */
 const minImmediateGapMs = 500;
-/** A timer that fires later than this shows that the process was paused, in milliseconds. */
+/** A wait that exceeds this duration shows that the process was paused, in milliseconds. */
 const pauseThresholdMs = 2 * millisecondsInSecond;
 
 /** A message that carries member records. */
@@ -275,7 +275,7 @@
     metrics.count('heartbeatsMissed');
     const relays = this.#pickRandom(
       indirectProbePeers,
-      (member) => member.id !== id && isUsable(member),
+      (member) => member.id !== id && canRelayProbes(member),
     );
     const timeoutMs = 2 * ackMs;
     const answers = relays.map((relay) =>
@@ -415,6 +415,12 @@
     }
   }
 
+  /**
+   * Creates a message with the configuration version and as many member records as the limits allow.
+   *
+   * @param peerViewHash - hash of the peer's view; by default the peer's view is taken to be equal, and
+   *   no records are added to reconcile the two
+   */
   #createGossipMessage<Kind extends GossipMessage['kind']>(
     kind: Kind,
     sequence: number,
@@ -496,6 +502,7 @@
   }
 }
 
-function isUsable({ state }: Member): boolean {
+/** Whether the member is expected to reply, so that it can be asked to probe another one. */
+function canRelayProbes({ state }: Member): boolean {
   return state === 'live' || state === 'leaving' || state === 'starting';
 }
--- a/packages/fleet/src/Registrations/index.ts
+++ b/packages/fleet/src/Registrations/index.ts
@@ -49,7 +49,10 @@
  * Any instance removes a registration whose heartbeat has not risen for this long, in milliseconds.
  */
 const registrationExpiryMs = 120_000;
-/** Maximum time by which one read of the list advances the age of heartbeats, in milliseconds. */
+/**
+ * Maximum time by which one read of the list advances the age of heartbeats, in milliseconds. After an
+ * outage of the store the heartbeats then do not all count as overdue at once.
+ */
 const maxListClockStepMs = 1_500;
 
 const registrationSchema = z.object({
--- a/packages/fleet/src/messageSchemas/index.ts
+++ b/packages/fleet/src/messageSchemas/index.ts
@@ -33,15 +33,19 @@
   remainingMs: z.number().nonnegative(),
 });
 
-/** Identifies one run of an instance in the ledger. */
-const lifetimeId = z.string().max(128);
+/** Identifies one process run of an instance in the ledger. */
+const processRunKey = z.string().max(128);
 
-/** A request for prepaid tokens to the instance that manages those of the account. */
+/**
+ * A request for prepaid tokens to the instance that holds the account's stock of them, or to its
+ * backup. Includes the running total of tokens that the sender has passed on to the receiver; the
+ * fields are those of `LoanRequest` in the ledger package.
+ */
 const loanSchema = z.object({
   accountId: z.string().max(256) as unknown as z.ZodType<AccountId>,
-  borrower: lifetimeId,
+  borrower: processRunKey,
   limitVersion: nonNegativeInteger,
-  givenTo: lifetimeId,
+  givenTo: processRunKey,
   givenTokens: nonNegativeInteger,
   neededTokens: nonNegativeInteger,
   wantedTokens: nonNegativeInteger,
@@ -124,7 +128,10 @@
     budget: budgetSchema,
     tokens: nonNegativeInteger,
   }),
-  /** Asks for a loan of prepaid tokens; see the loan types of the ledger package. */
+  /**
+   * Asks for a loan of prepaid tokens, or reports tokens passed on to the peer; see `PrepaidPeers` of
+   * the ledger package.
+   */
   z.object({ kind: z.literal('prepaidTokens'), loan: loanSchema }),
   /** Asks for the upstreams that the peer knows from the store. */
   z.object({ kind: z.literal('upstreams') }),
@@ -148,7 +155,7 @@
   }),
   z.object({
     kind: z.literal('prepaidTokens'),
-    lender: lifetimeId,
+    lender: processRunKey,
     /** Total tokens that the lender has transferred to this run of the requester. */
     lentTokens: nonNegativeInteger,
     outcome: z.enum(['lent', 'exhausted', 'heldElsewhere', 'storeAway', 'behind']),
