--- a/packages/store/src/ObjectFollower/test.ts
+++ b/packages/store/src/ObjectFollower/test.ts
@@ -49,9 +49,9 @@
 function follow(
   steps: Step[],
   {
-    gatherMs: batchDelayMs = 0,
-    isNewestEnough: isLatestStateSufficient = false,
-  }: { gatherMs?: number; isNewestEnough?: boolean } = {},
+    batchDelayMs = 0,
+    isLatestStateSufficient = false,
+  }: { batchDelayMs?: number; isLatestStateSufficient?: boolean } = {},
 ) {
   const clock = new ManualClock();
   const store = new ScriptedStore(steps);
@@ -120,7 +120,7 @@
     { changes: [change], revision: 8 },
     { changes: [], revision: 8 },
   ];
-  const { clock, store } = follow(steps, { gatherMs: 300 });
+  const { clock, store } = follow(steps, { batchDelayMs: 300 });
   await clock.advance(299);
   t.deepEqual(store.calls, ['snapshot', 'watch 7']);
   await clock.advance(1);
@@ -136,7 +136,7 @@
     createUnavailableError(),
     { objects: [object('a/1')], revision: 20 },
   ];
-  const { clock, store, events } = follow(steps, { isNewestEnough: true });
+  const { clock, store, events } = follow(steps, { isLatestStateSufficient: true });
   await clock.advance(2_000);
   t.deepEqual(store.calls, ['snapshot', 'watch 5', 'snapshot', 'watch 20']);
   t.deepEqual(events, ['all a/1', 'lost', 'regained', 'all a/1']);
--- a/packages/store/src/types.ts
+++ b/packages/store/src/types.ts
@@ -60,7 +60,10 @@
   readonly revision: number;
 }
 
-/** Role of an instance in the platform's instance list. */
+/**
+ * Role of an instance in the platform's instance list: an `entry` instance accepts requests of callers
+ * and forwards them to the upstreams, which are language model engines and other services.
+ */
 export type InstanceRole = 'entry' | 'engine' | 'service';
 
 /** An entry of the platform's instance list. */
--- a/packages/store/src/updateObject/index.ts
+++ b/packages/store/src/updateObject/index.ts
@@ -42,6 +42,7 @@
  *   effect
  *
  * @example
+ * // Creates the counter if it does not exist.
  * await updateObject(store, 'counter', clock, (stored) => (stored?.value as number ?? 0));
  */
 export async function updateObject<Value>(
