--- a/packages/router/src/AccountDemand/index.ts
+++ b/packages/router/src/AccountDemand/index.ts
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Returns the exponentially averaged number of open requests of an account.
+   * Returns the exponentially averaged number of open requests of an account, and removes the account
+   * if it is idle.
    *
    * @example
    * demand.average(accountId);
--- a/packages/router/src/Directory/index.ts
+++ b/packages/router/src/Directory/index.ts
@@ -104,7 +104,7 @@
   /**
    * Returns the number of instances for an account, which grows with its open requests. The estimate
    * covers all instances of the account, so that distributing the load does not make the account look
-   * idle.
+   * idle. An account that needs only the minimum is removed from the map.
    */
   #instanceCountFor(accountId: AccountId): number {
     const nowMs = this.#options.clock.monotonicMs();
--- a/packages/router/src/EngineOrders/index.ts
+++ b/packages/router/src/EngineOrders/index.ts
@@ -25,6 +25,7 @@
 /** Options of {@link EngineOrders}. */
 export interface EngineOrdersOptions {
   instanceId: InstanceId;
+  /** Identifies this run of the process, so that its lease writes differ from those of earlier runs. */
   incarnation: string;
   clock: Clock;
   metrics: Metrics;
@@ -48,11 +49,11 @@
 type Holds = NonNullable<EngineServiceDocument['holds']>;
 
 interface RunningReconciler extends AsyncDisposable {
-  /** The settings of the keeper; if they change, the keeper is replaced. */
+  /** The settings of the reconciler; if they change, the reconciler is replaced. */
   readonly settingsKey: string;
 }
 
-/** Runs an order keeper for each service for whose lease this instance competes. */
+/** Runs an order reconciler for each service for whose lease this instance competes. */
 export class EngineOrders implements AsyncDisposable {
   readonly #options: EngineOrdersOptions;
   readonly #reconcilers = new Map<string, RunningReconciler>();
@@ -63,7 +64,7 @@
     this.#options = options;
   }
 
-  /** Starts and stops order keepers as the configuration changes, until disposed of. */
+  /** Starts and stops order reconcilers as the configuration changes, until disposed of. */
   start(): void {
     this.#reconcileLoop ??= this.#runReconcileLoop();
   }
@@ -79,13 +80,13 @@
   async #runReconcileLoop(): Promise<void> {
     const { clock } = this.#options;
     while (!this.#stop.signal.aborted) {
-      await this.#reconcileKeepers();
+      await this.#updateReconcilers();
       await clock.sleep(reconcileIntervalMs, this.#stop.signal);
     }
   }
 
-  /** Starts the keepers that are needed and stops those that are not or whose settings changed. */
-  async #reconcileKeepers(): Promise<void> {
+  /** Starts the reconcilers that are needed and stops those that are not or whose settings changed. */
+  async #updateReconcilers(): Promise<void> {
     const servicesByName = new Map(
       this.#contendedServices().map((service) => [service.name, service]),
     );
@@ -154,6 +155,10 @@
   }
 }
 
+/**
+ * Adds the target to an engine. A leaving engine exports its KV cache to the least loaded live one; it
+ * is omitted if there is none.
+ */
 function withTarget(upstream: Upstream, holds: Holds, all: readonly Upstream[]): ManagedEngine[] {
   const { id, engine, state } = upstream;
   if (engine === undefined) return [];
--- a/packages/router/src/FleetGrantPeers/index.ts
+++ b/packages/router/src/FleetGrantPeers/index.ts
@@ -83,9 +83,9 @@
     tokens: number,
   ): Promise<readonly TransferredTokens[]> {
     const { rpc, life } = this.#options;
-    const question = { kind: 'handOver', life, budget, tokens } as const;
+    const request = { kind: 'handOver', life, budget, tokens } as const;
     const reply = await rpc
-      .ask(peer, question, { timeoutMs: answerTimeoutMs })
+      .ask(peer, request, { timeoutMs: answerTimeoutMs })
       .catch(() => undefined);
     return reply?.life === life ? reply.transfers : [];
   }
--- a/packages/router/src/Instance/index.ts
+++ b/packages/router/src/Instance/index.ts
@@ -64,6 +64,7 @@
   metrics?: Metrics;
   failureDomain?: FailureDomainId;
   grantPolicy?: GrantPolicy;
+  /** Selects the upstream for each request; prefix affinity by default. */
   choice?: UpstreamSelector;
   /** How long a started answer continues after its caller has disconnected, in milliseconds. */
   lingerMs?: number;
@@ -100,7 +101,8 @@
     this.#options = options;
     this.metrics = options.metrics ?? new Metrics();
     const { clock, random, store, list, clients, environment, instanceId } = options;
-    const incarnation = Math.floor(random() * 2 ** 48).toString(36);
+    // Differs after each restart. Member records call it `life`; their `incarnation` is a counter.
+    const runId = Math.floor(random() * 2 ** 48).toString(36);
     const choice = options.choice ?? new PrefixAffinity();
     this.links = options.links ?? new NoFleetLinks();
     this.rpc = this.#owned.add(new FleetRpc({ links: this.links, clock }));
@@ -132,14 +134,14 @@
         clock,
         // Has its own random source, so that the number of heartbeats does not affect the values that
         // requests draw.
-        random: createRandom(hashText(`membership\n${instanceId}\n${incarnation}`)),
+        random: createRandom(hashText(`membership\n${instanceId}\n${runId}`)),
         links: this.links,
         rpc: this.rpc,
         metrics: this.metrics,
         log: options.log,
         self: {
           id: instanceId,
-          life: incarnation,
+          life: runId,
           failureDomain: options.failureDomain ?? ('' as FailureDomainId),
         },
         configurationVersion: () => this.configuration.inForce.value?.version ?? 0,
@@ -173,7 +175,7 @@
     const grantPeers = new FleetGrantPeers({
       rpc: this.rpc,
       instanceId,
-      life: incarnation,
+      life: runId,
       live: () => this.#reachablePeers(),
     });
     this.ledger = this.#owned.add(
@@ -182,7 +184,7 @@
         clock,
         random,
         instanceId,
-        incarnation,
+        incarnation: runId,
         policy: options.grantPolicy ?? new DemandGrantPolicy(),
         peers: grantPeers,
       }),
@@ -195,7 +197,7 @@
       ledger: this.ledger,
       registry: this.registry,
       configuration: () => this.configuration.current(),
-      nextRequestId: () => this.#nextRequestId(incarnation),
+      nextRequestId: () => this.#nextRequestId(runId),
     };
     const queue = new AdmissionQueue({
       clock,
@@ -213,7 +215,7 @@
     this.orders = this.#owned.add(
       new EngineOrders({
         instanceId,
-        incarnation,
+        incarnation: runId,
         clock,
         metrics: this.metrics,
         store,
@@ -340,9 +342,9 @@
       .map((member) => member.id);
   }
 
-  #nextRequestId(incarnation: string): RequestId {
+  #nextRequestId(runId: string): RequestId {
     this.#requestCount += 1;
-    return `${this.#options.instanceId}.${incarnation}.${this.#requestCount}` as RequestId;
+    return `${this.#options.instanceId}.${runId}.${this.#requestCount}` as RequestId;
   }
 
   async #readList(): Promise<void> {
