--- a/packages/callers/src/AnswerCache/index.ts
+++ b/packages/callers/src/AnswerCache/index.ts
@@ -20,6 +20,7 @@
 
 interface FinishedAnswer {
   readonly answer: SharedAnswer;
+  /** When it finished, by the monotonic clock. */
   readonly atMs: number;
 }
 
@@ -53,7 +54,7 @@
   }
 
   /** Memory used by finished answers, in bytes. */
-  get keptBytes(): number {
+  get finishedBytes(): number {
     return this.#bytes;
   }
 
--- a/packages/callers/src/ChatHandler/index.ts
+++ b/packages/callers/src/ChatHandler/index.ts
@@ -51,6 +51,7 @@
 /** Part of the longest request duration that is reserved for writing the bill, in milliseconds. */
 const billMarginMs = 10 * millisecondsInSecond;
 
+/** One attempt at a request: the call, and what the configuration says about it. */
 interface Attempt {
   readonly call: ChatCall;
   readonly key: RequestKey;
@@ -60,6 +61,7 @@
   readonly service: EngineServiceDocument;
   readonly classEntry: ClassEntry;
   readonly maxTokens: number;
+  /** Series of this attempt's metrics: client account and class. */
   readonly series: string;
   readonly startedMs: number;
 }
@@ -321,6 +323,7 @@
   }
 }
 
+/** Upper bound of the number of prompt tokens; only the engine counts them exactly. */
 function maxPromptTokens({ call, service }: Attempt): number {
   const bytes = call.messages.reduce((sum, message) => sum + Buffer.byteLength(message.content), 0);
   return Math.ceil(bytes / service.minBytesPerToken);
--- a/packages/callers/src/EngineDispatch/index.ts
+++ b/packages/callers/src/EngineDispatch/index.ts
@@ -36,7 +36,7 @@
   forwardedTokens: number;
 }
 
-/** How many times in a row a stream is resumed without any progress. */
+/** Maximum number of times in a row that a stream is resumed without any progress. */
 const maxConsecutiveFailures = 3;
 /** Base of the jittered exponential backoff before a stream is resumed, in milliseconds. */
 const resumeBackoffMs = 50;
@@ -128,7 +128,10 @@
     }
   }
 
-  /** Reads from one connection until the stream ends or the connection fails. */
+  /**
+   * Reads from one connection until the stream ends or the connection fails. Returns after the
+   * backoff if the stream should be resumed on another connection; otherwise throws the error.
+   */
   async *#streamConnection(
     engine: EngineClient,
     task: GenerationTask,
@@ -154,6 +157,7 @@
       }
     } catch (error) {
       const isRefused = error instanceof RouterError && error.kind === 'upstreamUnavailable';
+      // Only if the first connection is refused is it certain that this engine runs nothing.
       if (!(isFirst && isRefused)) state.outcome.mayHaveRun = true;
       state.consecutiveFailures += 1;
       if (error instanceof RouterError && !signal.aborted) inFlight.failed(error);
@@ -174,7 +178,7 @@
       state.isEnded = true;
       return;
     }
-    if (state.nextSequence === 0) engine.firstTokens.observe(nowMs - state.dispatchedMs);
+    if (state.nextSequence === 0) engine.firstTokenTimeout.observe(nowMs - state.dispatchedMs);
     else engine.tokenGaps.observe(nowMs - state.lastProgressMs);
     state.nextSequence = frame.sequence + 1;
     state.lastProgressMs = nowMs;
@@ -202,7 +206,7 @@
   #progressTimeoutMs(engine: EngineClient, task: GenerationTask, state: StreamState): number {
     const factor = 2 ** state.consecutiveFailures;
     if (state.nextSequence > 0) return engine.tokenGaps.limitMs() * factor;
-    const learnedTimeoutMs = engine.firstTokens.limitMs() * factor;
+    const learnedTimeoutMs = engine.firstTokenTimeout.limitMs() * factor;
     const remainingMs = task.firstTokenDueMs - this.#options.clock.monotonicMs();
     if (remainingMs <= 0) return learnedTimeoutMs;
     return Math.min(learnedTimeoutMs, Math.max(minFirstTokenTimeoutMs, remainingMs / 2));
--- a/packages/callers/src/ServiceDispatch/index.ts
+++ b/packages/callers/src/ServiceDispatch/index.ts
@@ -31,7 +31,7 @@
 const retryBackoffMs = 50;
 /** Minimum time that an upstream gets to respond, however near the due time, in milliseconds. */
 const minAnswerTimeoutMs = 250;
-/** Status of a service that is temporarily unavailable. */
+/** Status of a service that is temporarily unavailable; the call may have run nevertheless. */
 const unavailableStatus = 503;
 
 /** The result of one attempt at one upstream. */
@@ -125,17 +125,18 @@
       throw error;
     });
     inFlight.progress();
-    plain.answerTimes.observe(clock.monotonicMs() - startedMs);
+    plain.responseTimeout.observe(clock.monotonicMs() - startedMs);
     return answer;
   }
 
   /**
    * An idempotent call gives up on an unresponsive upstream early, while there is time for another.
-   * Any other call waits until its total deadline, since it cannot be retried.
+   * Any other call waits until its total deadline, since it cannot be retried: the signal ends it
+   * long before the hour that is returned here.
    */
   #timeoutMs(upstream: Upstream, task: ServiceCallTask): number {
     if (!task.isRepeatable || upstream.plain === undefined) return millisecondsInHour;
-    const learnedTimeoutMs = upstream.plain.answerTimes.limitMs();
+    const learnedTimeoutMs = upstream.plain.responseTimeout.limitMs();
     const remainingMs = task.answerDueMs - this.#options.clock.monotonicMs();
     if (remainingMs <= 0) return learnedTimeoutMs;
     return Math.min(learnedTimeoutMs, Math.max(minAnswerTimeoutMs, remainingMs / 2));
--- a/packages/callers/src/ServiceHandler/index.ts
+++ b/packages/callers/src/ServiceHandler/index.ts
@@ -53,6 +53,7 @@
 /** Attempts to write the outcome of a call; after the last one its record remains an intent. */
 const maxRecordWrites = 20;
 
+/** One attempt at a request: the call, and what the configuration says about it. */
 interface Attempt {
   readonly call: ServiceCall;
   readonly key: RequestKey;
@@ -62,6 +63,7 @@
   readonly service: PlainServiceDocument;
   readonly classEntry: ClassEntry;
   readonly isRepeatable: boolean;
+  /** Series of this attempt's metrics: client account and class. */
   readonly series: string;
   readonly startedMs: number;
   readonly progress: CallProgress;
--- a/packages/callers/src/_lib/createCallerDeadline/index.ts
+++ b/packages/callers/src/_lib/createCallerDeadline/index.ts
@@ -30,7 +30,7 @@
 ): DeadlineSignal {
   const reason = () => {
     if (!isAnswered()) {
-      const message = 'nothing more arrived before the deadline';
+      const message = 'the request was not complete before its deadline';
       return new RouterError('deadlineExceeded', message, { ran: 'unknown' });
     }
     const message =
--- a/packages/callers/src/_lib/storedAnswer/index.ts
+++ b/packages/callers/src/_lib/storedAnswer/index.ts
@@ -8,7 +8,10 @@
 /** Largest response body that is stored in a record, in bytes. */
 export const maxStoredAnswerBytes = 64 * bytesInKibibyte;
 
-/** Age of an intent after which no instance can still be running its call, in milliseconds. */
+/**
+ * Age of an intent after which no instance can still be running its call, in milliseconds; more
+ * than the default for the longest request duration, 10 minutes.
+ */
 const maxCallDurationMs = 11 * millisecondsInMinute;
 /** Retry interval for a call that may still be running, in milliseconds. */
 const pendingRetryAfterMs = 2_000;
--- a/packages/callers/src/createCallerServer/index.ts
+++ b/packages/callers/src/createCallerServer/index.ts
@@ -363,7 +363,8 @@
 }
 
 /**
- * Counts the bytes that an exchange holds until its response has been sent or its caller has gone.
+ * Counts the bytes that an exchange holds until its response has been sent or its caller has
+ * disconnected.
  */
 function trackHeldBytes(context: ServerContext, response: ServerResponse): HeldBytes {
   const held = context.bodies.open();
--- a/packages/callers/src/writeError/index.ts
+++ b/packages/callers/src/writeError/index.ts
@@ -5,17 +5,18 @@
 import type { ServerResponse } from 'node:http';
 
 /** Minimum width of the interval from which the jitter is drawn, in milliseconds. */
-const minSpreadMs = 500;
+const minJitterRangeMs = 500;
 
 /**
- * Adds jitter to a retry time, up to three times the given one.
+ * Adds jitter to a retry time: up to twice the given time, or up to `minJitterRangeMs` if that is
+ * more.
  *
  * Guards against a second wave of retries: if one instance of five is lost, its callers are refused
  * by the others at the same moment, and with the same retry time they would all retry at the same
  * moment again.
  */
 export function addRetryJitterMs(retryAfterMs: number, random: Random): number {
-  return Math.round(retryAfterMs + random() * Math.max(2 * retryAfterMs, minSpreadMs));
+  return Math.round(retryAfterMs + random() * Math.max(2 * retryAfterMs, minJitterRangeMs));
 }
 
 /** The JSON body for an error: its kind, whether the request ran, and when to retry. */
