--- a/packages/upstreams/src/AdaptiveTimeout/index.ts
+++ b/packages/upstreams/src/AdaptiveTimeout/index.ts
@@ -26,8 +26,8 @@
  * caller of a fast one waiting on a dead connection.
  *
  * @example
- * const bound = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
- * bound.limitMs();
+ * const timeout = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
+ * timeout.limitMs();
  * //=> 10000
  */
 export class AdaptiveTimeout {
--- a/packages/upstreams/src/EngineClient/index.ts
+++ b/packages/upstreams/src/EngineClient/index.ts
@@ -16,7 +16,7 @@
   /** Adaptive timeout for the gaps between this engine's tokens. */
   readonly tokenGaps = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
   /** Adaptive timeout for this engine's first token, which queueing and long prompts delay. */
-  readonly firstTokens = new AdaptiveTimeout({ floorMs: 2_000, ceilingMs: 30_000 });
+  readonly firstTokenTimeout = new AdaptiveTimeout({ floorMs: 2_000, ceilingMs: 30_000 });
 
   /**
    * Starts a generation.
@@ -31,6 +31,7 @@
    *
    * @param requestId - the generation to resume
    * @param offset - the sequence number of the first token to send
+   * @param signal - aborts the connection only; {@link cancel} ends the generation
    * @throws RouterError `notFound` if the engine no longer has the generation
    */
   abstract resume(
--- a/packages/upstreams/src/HttpEngineClient/index.ts
+++ b/packages/upstreams/src/HttpEngineClient/index.ts
@@ -160,7 +160,7 @@
         ...(body === undefined ? {} : { body }),
       });
     } catch (error) {
-      throw toRouterError(error as Error);
+      throw toEngineError(error as Error);
     }
   }
 }
@@ -170,7 +170,7 @@
   answer.body.dump().catch(() => undefined);
 }
 
-function toRouterError(error: Error): RouterError {
+function toEngineError(error: Error): RouterError {
   if (error instanceof RouterError) return error;
   if (isConnectFailure(error)) {
     return new RouterError('upstreamUnavailable', 'the engine cannot be reached', { cause: error });
@@ -192,6 +192,6 @@
       yield* ready.splice(0);
     }
   } catch (error) {
-    throw toRouterError(error as Error);
+    throw toEngineError(error as Error);
   }
 }
--- a/packages/upstreams/src/HttpServiceClient/index.ts
+++ b/packages/upstreams/src/HttpServiceClient/index.ts
@@ -41,10 +41,10 @@
         body: await this.#readBody(answer),
       };
     } catch (error) {
-      // The call may have failed on a dead connection, and then all connections of the pool may be
-      // dead.
+      // The call may have failed, or been aborted, because its connection is dead, and then all
+      // connections of the pool may be dead.
       this.#pool.retire();
-      throw toRouterError(error as Error);
+      throw toServiceError(error as Error);
     }
   }
 
@@ -95,7 +95,7 @@
   return Object.fromEntries(headers);
 }
 
-function toRouterError(error: Error): RouterError {
+function toServiceError(error: Error): RouterError {
   if (error instanceof RouterError) return error;
   if (isConnectFailure(error)) {
     return new RouterError('upstreamUnavailable', 'the service cannot be reached', {
--- a/packages/upstreams/src/ServiceClient/index.ts
+++ b/packages/upstreams/src/ServiceClient/index.ts
@@ -4,7 +4,7 @@
 /** A client for one plain service instance. */
 export abstract class ServiceClient {
   /** Adaptive timeout for this service's responses. */
-  readonly answerTimes = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 15_000 });
+  readonly responseTimeout = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 15_000 });
 
   /**
    * Makes one call.
--- a/packages/upstreams/src/WeightLoadRateLimiter/index.ts
+++ b/packages/upstreams/src/WeightLoadRateLimiter/index.ts
@@ -10,7 +10,8 @@
 }
 
 /**
- * A token bucket that limits orders which make engines fetch weights to the weight store's rate.
+ * A token bucket for orders that make engines load weights of a model or an adapter. It limits them
+ * to the rate that the weight store, from which engines load the weights, allows.
  *
  * The bucket starts empty: a new lease holder does not know how many loads the previous one has
  * just ordered, and must not add its own burst to them.
--- a/packages/upstreams/src/_lib/ConnectionPool/index.ts
+++ b/packages/upstreams/src/_lib/ConnectionPool/index.ts
@@ -39,6 +39,7 @@
   constructor(options: ConnectionPoolOptions) {
     this.#options = options;
     this.#agent = createAgent(options.connections);
+    // The first pool may be replaced at any time, even if the clock starts at 0.
     this.#openedMs = -minPoolAgeMs;
   }
 
