--- a/packages/base/src/Clock/index.ts
+++ b/packages/base/src/Clock/index.ts
@@ -1,8 +1,9 @@
 /**
  * The source of time for all decisions: a wall clock, a monotonic clock and timers, in milliseconds.
  *
- * `wallMs` may jump; use it only for times that other machines read (grant expiry, lease end).
- * `monotonicMs` never goes back; a lease holder measures its own leases and timeouts with it.
+ * `wallMs` may jump; use it only for times that leave the process (grant expiry, timestamps of
+ * records and reports). `monotonicMs` never goes back; timeouts are measured with it, and so are
+ * leases, both by their holder and by an instance that waits to take one over.
  */
 export abstract class Clock {
   /** Milliseconds since 1970 by this machine's wall clock; may jump. */
