--- a/packages/ctl/src/_lib/waitUntilInForce/index.ts
+++ b/packages/ctl/src/_lib/waitUntilInForce/index.ts
@@ -64,15 +64,15 @@
 }
 
 function describeInstance({ entry, answer, reason }: InstanceView, version: number): string {
-  const place = `${entry.id} (${entry.failureDomain}, ${entry.state})`;
-  if (answer === undefined) return `${place}: UNKNOWN: ${reason ?? 'it was not queried'}`;
+  const label = `${entry.id} (${entry.failureDomain}, ${entry.state})`;
+  if (answer === undefined) return `${label}: UNKNOWN: ${reason ?? 'it was not queried'}`;
   const acts =
     answer.version === undefined
       ? 'acts on NO version, takes no work'
       : `acts on version ${answer.version} since ${formatTime(answer.sinceMs ?? 0)}${describeVersionDifference(answer.version, version)}`;
   const work = `${answer.isAccepting ? 'takes work' : 'takes NO new work'}, ${answer.openRequests} requests under way`;
   const problem = answer.problem === undefined ? '' : `; problem: ${answer.problem}`;
-  return `${place}: ${acts}; ${work}${problem}`;
+  return `${label}: ${acts}; ${work}${problem}`;
 }
 
 function describeVersionDifference(actualVersion: number, version: number): string {
--- a/packages/ctl/src/queryInstances/index.ts
+++ b/packages/ctl/src/queryInstances/index.ts
@@ -16,7 +16,7 @@
  * @returns what is known about each instance
  *
  * @example
- * const { instances } = await askInstances(context, 'kapiti');
+ * const { instances } = await queryInstances(context, 'kapiti');
  */
 export async function queryInstances(
   context: CommandContext,
@@ -37,16 +37,16 @@
 }
 
 /**
- * Returns the listed instances with role `entry` of an environment, sorted by id, including those
- * that are listed without an environment.
+ * Returns the listed instances of this system (role `entry`; the other roles are upstreams) that
+ * belong to an environment, sorted by id. Instances listed without an environment are included.
  *
  * @throws RouterError `storeUnavailable`
  */
 export async function listEntryInstances(
-  { instanceList: list }: CommandContext,
+  { instanceList }: CommandContext,
   environment: string,
 ): Promise<ListedInstance[]> {
-  const listed = await list.read();
+  const listed = await instanceList.read();
   return listed
     .filter(({ role }) => role === 'entry')
     .filter((entry) => (entry.environment ?? environment) === environment)
@@ -54,11 +54,11 @@
 }
 
 async function queryInstance(
-  { operatorPortClient: ports }: CommandContext,
+  { operatorPortClient }: CommandContext,
   entry: ListedInstance,
 ): Promise<InstanceView> {
   try {
-    return { entry, answer: await ports.status(entry), reason: undefined };
+    return { entry, answer: await operatorPortClient.status(entry), reason: undefined };
   } catch (thrown) {
     return { entry, answer: undefined, reason: toRouterError(thrown).message };
   }
--- a/packages/ctl/src/runTry/index.ts
+++ b/packages/ctl/src/runTry/index.ts
@@ -36,6 +36,7 @@
     ...options,
   });
   const run = await waitForTrialRun(context, store, trialEnvironment, digestText(text));
+  // Does not wait again: `waitForTrialRun` has already waited up to `context.waitMs`.
   const rollout = await waitUntilInForce(
     { ...context, waitMs: 0 },
     trialEnvironment,
--- a/packages/ctl/src/types.ts
+++ b/packages/ctl/src/types.ts
@@ -32,7 +32,9 @@
   readonly openRequests: number;
   /** The configuration version that it acts on; undefined when it acts on none yet. */
   readonly version: number | undefined;
+  /** Digest of the document of that version. */
   readonly digest: string | undefined;
+  /** When it began to act on that version, in milliseconds since 1970. */
   readonly sinceMs: number | undefined;
   /** Why it could not load a version that it knows of. */
   readonly problem: string | undefined;
