--- a/packages/standins/src/experiment.ts
+++ b/packages/standins/src/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run experiment -- NAME`: compares policies on virtual time.
+ * `npm run experiment -- NAME`: runs a simulation that compares policies in virtual time.
  */
 import { runNamed } from './_lib/runNamed/index.js';
 
--- a/packages/standins/src/experiments/configuration-size/index.ts
+++ b/packages/standins/src/experiments/configuration-size/index.ts
@@ -1,7 +1,8 @@
 /**
- * What an environment takes in the store, and what one changed account costs, by its size.
+ * Measures, by the size of an environment, the objects and bytes that its configuration takes in the
+ * store and the store traffic that one changed account causes.
  *
- * Weighed against the whole document in one object, and between sizes of a leaf.
+ * The rows also give the size of the whole document as one object, and compare leaf sizes.
  */
 import { createRandom, digestText, ManualClock } from '@acaciacrank/base';
 import {
@@ -24,32 +25,39 @@
   { accounts: 230, budgetsPerAccount: 210, largeAccounts: 1, budgetsPerLargeAccount: 10_000 },
   { accounts: 2_300, budgetsPerAccount: 210, largeAccounts: 5, budgetsPerLargeAccount: 20_000 },
 ];
-/** Sizes of a leaf that are compared, at the middle size only: each takes minutes at the target. */
+/**
+ * Leaf sizes that are compared, in bytes. Only the middle environment size is measured with them,
+ * since each leaf size takes minutes with the largest one.
+ */
 const leafSizes = [2_048, 32_768];
-const changesBefore = 8;
+const priorVersions = 8;
 const changesPerDay = 19_000;
 const secondsPerDay = 86_400;
 
-type Change = (document: EnvironmentDocument, at: number) => EnvironmentDocument;
+type Change = (document: EnvironmentDocument, accountIndex: number) => EnvironmentDocument;
 
 const changes: Readonly<Record<string, Change>> = {
-  rotatedKey: (document, at) =>
-    mapAccount(document, at, (account) => ({
+  rotatedKey: (document, accountIndex) =>
+    mapAccount(document, accountIndex, (account) => ({
       ...account,
-      keyDigests: [...account.keyDigests, digestText(`next-${at}`)],
+      keyDigests: [...account.keyDigests, digestText(`next-${accountIndex}`)],
     })),
-  addedBudget: (document, at) =>
-    mapAccount(document, at, (account) => ({
+  addedBudget: (document, accountIndex) =>
+    mapAccount(document, accountIndex, (account) => ({
       ...account,
       budgets: [...account.budgets, { id: `${account.id}-added`, openingTokens: 5_000 }],
     })),
-  addedAccount: (document, at) => {
-    const model = document.accounts.at(-1);
-    const budgets = (model?.budgets ?? []).map(({ openingTokens }, inner) => ({
-      id: `new-${at}-budget-${inner}`,
+  addedAccount: (document, accountIndex) => {
+    const template = document.accounts.at(-1);
+    const budgets = (template?.budgets ?? []).map(({ openingTokens }, budgetIndex) => ({
+      id: `new-${accountIndex}-budget-${budgetIndex}`,
       openingTokens,
     }));
-    const account = { id: `new-${at}`, keyDigests: [digestText(`new-${at}`)], budgets };
+    const account = {
+      id: `new-${accountIndex}`,
+      keyDigests: [digestText(`new-${accountIndex}`)],
+      budgets,
+    };
     return { ...document, accounts: [...document.accounts, account] };
   },
 };
@@ -67,7 +75,7 @@
   return { ...document, accounts };
 }
 
-/** Runs all sizes. */
+/** Measures each environment size, and the middle one with each leaf size. */
 export const run: NamedRun = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
   for (const size of sizes) rows.push(...(await measure(size, maxLeafBytes, seed)));
@@ -80,32 +88,32 @@
 async function measure(size: DocumentSize, leafBytes: number, seed: number): Promise<ResultRow[]> {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
-  const open = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
-  const [operator, instance] = [open(), open()];
+  const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
+  const [operatorStore, instanceStore] = [openStore(), openStore()];
   let document = makeDocument(size);
   const options = { leafBytes, random: createRandom(seed) };
   const accept = (name: string) =>
-    acceptParsedDocument(operator, clock, document, digestText(name), options);
+    acceptParsedDocument(operatorStore, clock, document, digestText(name), options);
   await clock.runUntil(accept('first'));
-  const watcher = new ConfigurationWatcher({ store: instance, clock, environment: 'kapiti' });
+  const watcher = new ConfigurationWatcher({ store: instanceStore, clock, environment: 'kapiti' });
   await clock.runUntil(watcher.refresh());
-  const startReads = instance.reads;
-  const startReadBytes = instance.readBytes;
+  const startReads = instanceStore.reads;
+  const startReadBytes = instanceStore.readBytes;
   const objects = platform.objects().filter(({ key }) => key.includes('/objects/'));
   const largestObjectBytes = Math.max(...objects.map(({ value }) => JSON.stringify(value).length));
   const rows: ResultRow[] = [];
   const at = size.accounts >> 1;
-  // The manifest names a bounded number of earlier versions; it is measured with all of them.
-  for (let round = 1; round <= changesBefore; round += 1) {
+  // The manifest lists a bounded number of earlier versions; fill the list before measuring.
+  for (let round = 1; round <= priorVersions; round += 1) {
     const weighs = round % 2 === 0 ? 'overspend' : 'falseRefusals';
     document = mapAccount(document, 0, (account) => ({ ...account, weighs }));
     await clock.runUntil(accept(`before ${round}`));
   }
   await clock.runUntil(watcher.refresh());
-  for (const [change, make] of Object.entries(changes)) {
-    document = make(document, at);
-    Object.assign(operator, { writes: 0, writtenBytes: 0 });
-    Object.assign(instance, { reads: 0, readBytes: 0 });
+  for (const [change, applyChange] of Object.entries(changes)) {
+    document = applyChange(document, at);
+    Object.assign(operatorStore, { writes: 0, writtenBytes: 0 });
+    Object.assign(instanceStore, { reads: 0, readBytes: 0 });
     await clock.runUntil(accept(change));
     await clock.runUntil(watcher.refresh());
     rows.push({
@@ -118,12 +126,12 @@
       startReadBytes,
       change,
       wholeDocumentBytes: JSON.stringify(document).length,
-      writes: operator.writes,
-      writtenBytes: operator.writtenBytes,
-      instanceReads: instance.reads,
-      instanceReadBytes: instance.readBytes,
+      writes: operatorStore.writes,
+      writtenBytes: operatorStore.writtenBytes,
+      instanceReads: instanceStore.reads,
+      instanceReadBytes: instanceStore.readBytes,
       instanceBytesPerSecondAtTarget: Math.round(
-        (instance.readBytes * changesPerDay) / secondsPerDay,
+        (instanceStore.readBytes * changesPerDay) / secondsPerDay,
       ),
     });
   }
--- a/packages/standins/src/experiments/configuration-spread/index.ts
+++ b/packages/standins/src/experiments/configuration-spread/index.ts
@@ -1,5 +1,6 @@
 /**
- * How soon an accepted version is in force on every instance that is reachable, by what is wrong.
+ * Measures how long it takes under each fault until an accepted configuration version is in force on
+ * every reachable instance.
  */
 import { acceptDocument, manifestKey } from '@acaciacrank/operators';
 import type { StoredObject } from '@acaciacrank/store';
@@ -12,36 +13,40 @@
 
 const instanceCount = 5;
 const partitionMs = 180_000;
-const staleMs = 3_000;
-const stepMs = 50;
-const limitMs = 60_000;
+const staleCacheMs = 3_000;
+const pollIntervalMs = 50;
+const maxWaitMs = 60_000;
 
-/** A fleet with a faulty store before each instance. */
-interface SpreadFleet extends LocalFleet {
+/** A fleet in which each instance reaches the store through a client with injectable faults. */
+interface FaultyStoreFleet extends LocalFleet {
   readonly stores: FaultyObjectStore[];
-  /** Puts the next version in force, by an operator whose own store is sound; returns when. */
+  /**
+   * Accepts the next version through an operator's store client without faults.
+   *
+   * @returns the time of the acceptance, in milliseconds
+   */
   accept(): Promise<number>;
-  /** The stores of instances that start from now on answer reads from a cache that holds this. */
-  rememberAtStart(stored: StoredObject): void;
+  /** Makes the stores of instances that start later answer reads from a stale cache with this object. */
+  setInitialCache(stored: StoredObject): void;
 }
 
-/** Sets the fault, accepts a version, and returns when the time began to count, in milliseconds. */
-type SpreadCase = (fleet: SpreadFleet) => Promise<number>;
+/** Injects the fault, accepts a version, and returns the start of the measured time in ms. */
+type PropagationCase = (fleet: FaultyStoreFleet) => Promise<number>;
 
-function faults(fleet: SpreadFleet, from: number) {
+function faults(fleet: FaultyStoreFleet, from: number) {
   return fleet.stores.slice(from).map((store) => store.faults);
 }
 
-const cases: Readonly<Record<string, SpreadCase>> = {
+const cases: Readonly<Record<string, PropagationCase>> = {
   calm: (fleet) => fleet.accept(),
   watchesSilent: async (fleet) => {
-    for (const each of faults(fleet, 0)) each.isWatchSilent = true;
+    for (const storeFaults of faults(fleet, 0)) storeFaults.isWatchSilent = true;
     await fleet.clock.advance(1_000);
     return fleet.accept();
   },
   watchAndReadsSilentAtOne: async (fleet) => {
-    for (const each of faults(fleet, 4))
-      Object.assign(each, { isWatchSilent: true, isReadSilent: true });
+    for (const storeFaults of faults(fleet, 4))
+      Object.assign(storeFaults, { isWatchSilent: true, isReadSilent: true });
     await fleet.clock.advance(1_000);
     return fleet.accept();
   },
@@ -54,31 +59,31 @@
     return fleet.accept();
   },
   staleReadsAtFour: async (fleet) => {
-    for (const each of faults(fleet, 1))
-      Object.assign(each, { isStale: true, isWatchSilent: true });
+    for (const storeFaults of faults(fleet, 1))
+      Object.assign(storeFaults, { isStale: true, isWatchSilent: true });
     await fleet.clock.advance(1_000);
     return fleet.accept();
   },
   storeDownForFour: async (fleet) => {
-    for (const each of faults(fleet, 1)) each.isDown = true;
+    for (const storeFaults of faults(fleet, 1)) storeFaults.isDown = true;
     return fleet.accept();
   },
   storeDownForAllAfterOneRead: async (fleet) => {
-    for (const each of faults(fleet, 1))
-      Object.assign(each, { isStale: true, isWatchSilent: true });
+    for (const storeFaults of faults(fleet, 1))
+      Object.assign(storeFaults, { isStale: true, isWatchSilent: true });
     await fleet.clock.advance(1_000);
     const acceptedMs = await fleet.accept();
-    for (const each of faults(fleet, 0)) each.isDown = true;
+    for (const storeFaults of faults(fleet, 0)) storeFaults.isDown = true;
     return acceptedMs;
   },
   partitionHealed: async (fleet) => {
     const ids = fleet.instances.map(({ id }) => id);
     fleet.network.partition(ids.slice(0, 3), ids.slice(3));
-    for (const each of faults(fleet, 3)) each.isDown = true;
+    for (const storeFaults of faults(fleet, 3)) storeFaults.isDown = true;
     await fleet.accept();
     await fleet.clock.advance(partitionMs);
     await fleet.accept();
-    for (const each of faults(fleet, 3)) each.isDown = false;
+    for (const storeFaults of faults(fleet, 3)) storeFaults.isDown = false;
     fleet.network.heal();
     return fleet.clock.monotonicMs();
   },
@@ -88,41 +93,44 @@
     return acceptedMs;
   },
   justStartedAtAStaleCache: async (fleet) => {
-    const old = fleet.platform.read(manifestKey('kapiti'));
+    const oldManifest = fleet.platform.read(manifestKey('kapiti'));
     const acceptedMs = await fleet.accept();
-    if (old === undefined) throw new Error('no manifest was accepted');
-    fleet.rememberAtStart(old);
+    if (oldManifest === undefined) throw new Error('no manifest was accepted');
+    fleet.setInitialCache(oldManifest);
     const starting = fleet.addInstance('i6');
-    fleet.clock.schedule(staleMs, () => {
-      for (const each of faults(fleet, instanceCount)) each.isStale = false;
+    fleet.clock.schedule(staleCacheMs, () => {
+      for (const storeFaults of faults(fleet, instanceCount)) storeFaults.isStale = false;
     });
     await starting;
     return acceptedMs;
   },
 };
 
-/** Runs each case. */
+/** Runs each fault case. */
 export const run: NamedRun = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
-  for (const [name, story] of Object.entries(cases)) rows.push(await measure(name, story, seed));
+  for (const [name, runCase] of Object.entries(cases))
+    rows.push(await measure(name, runCase, seed));
   return rows;
 };
 
-async function measure(name: string, story: SpreadCase, seed: number): Promise<ResultRow> {
-  await using fleet = await createSpreadFleet(seed);
-  const seen = watchVersions(fleet);
+async function measure(name: string, runCase: PropagationCase, seed: number): Promise<ResultRow> {
+  await using fleet = await createFaultyStoreFleet(seed);
+  const versionsByInstance = watchVersions(fleet);
   await fleet.clock.advance(5_000);
-  const startMs = await story(fleet);
-  const version = Math.max(...fleet.platform.objects().flatMap(versionOf));
-  const isEverywhere = () =>
+  const startMs = await runCase(fleet);
+  const version = Math.max(...fleet.platform.objects().flatMap(manifestVersions));
+  const isInForceEverywhere = () =>
     fleet.instances.every(
       ({ instance }) => instance.configuration.inForce.value?.version === version,
     );
-  while (!isEverywhere() && fleet.clock.monotonicMs() - startMs < limitMs) {
-    await fleet.clock.advance(stepMs);
+  while (!isInForceEverywhere() && fleet.clock.monotonicMs() - startMs < maxWaitMs) {
+    await fleet.clock.advance(pollIntervalMs);
   }
-  const everywhereMs = isEverywhere() ? Math.round(fleet.clock.monotonicMs() - startMs) : null;
-  // A version that was taken back would show after the fault has passed, too.
+  const everywhereMs = isInForceEverywhere()
+    ? Math.round(fleet.clock.monotonicMs() - startMs)
+    : null;
+  // An instance could also go back to an earlier version after the fault has ended.
   for (const store of fleet.stores) Object.assign(store.faults, { isDown: false, isStale: false });
   await fleet.clock.advance(20_000);
   return {
@@ -130,13 +138,16 @@
     instances: fleet.instances.length,
     version,
     everywhereMs,
-    lowerVersions: [...seen.values()].reduce((sum, versions) => sum + countLower(versions), 0),
+    lowerVersions: [...versionsByInstance.values()].reduce(
+      (sum, versions) => sum + countVersionDecreases(versions),
+      0,
+    ),
   };
 }
 
-async function createSpreadFleet(seed: number): Promise<SpreadFleet> {
+async function createFaultyStoreFleet(seed: number): Promise<FaultyStoreFleet> {
   const stores: FaultyObjectStore[] = [];
-  let remembered: StoredObject | undefined;
+  let initialCache: StoredObject | undefined;
   const fleet = await createLocalFleet({
     document: markedText(1),
     seed,
@@ -144,33 +155,35 @@
     wrap: (options) => {
       const store = new FaultyObjectStore(options.store);
       stores.push(store);
-      if (remembered !== undefined) {
-        store.remember(remembered);
+      if (initialCache !== undefined) {
+        store.remember(initialCache);
         store.faults.isStale = true;
       }
       return { ...options, store };
     },
   });
-  const operator = new MemoryObjectStore(fleet.platform, fleet.clock);
-  let mark = 1;
+  const operatorStore = new MemoryObjectStore(fleet.platform, fleet.clock);
+  let documentNumber = 1;
   const accept = async () => {
-    mark += 1;
+    documentNumber += 1;
     const acceptedMs = fleet.clock.monotonicMs();
-    await fleet.clock.runUntil(acceptDocument(operator, fleet.clock, markedText(mark)));
+    await fleet.clock.runUntil(
+      acceptDocument(operatorStore, fleet.clock, markedText(documentNumber)),
+    );
     return acceptedMs;
   };
-  const rememberAtStart = (stored: StoredObject) => {
-    remembered = stored;
+  const setInitialCache = (stored: StoredObject) => {
+    initialCache = stored;
   };
-  return Object.assign(fleet, { stores, accept, rememberAtStart });
+  return Object.assign(fleet, { stores, accept, setInitialCache });
 }
 
-/** Each instance's versions in the order in which they came into force. */
-function watchVersions(fleet: SpreadFleet): Map<string, number[]> {
-  const seen = new Map<string, number[]>();
+/** Collects the versions of each instance in the order in which they come into force. */
+function watchVersions(fleet: FaultyStoreFleet): Map<string, number[]> {
+  const versionsByInstance = new Map<string, number[]>();
   for (const { id, instance } of fleet.instances) {
     const versions: number[] = [];
-    seen.set(id, versions);
+    versionsByInstance.set(id, versions);
     instance.configuration.inForce.changes.subscribe({
       next: (inForce) => {
         if (inForce !== undefined) versions.push(inForce.version);
@@ -179,13 +192,13 @@
       complete: () => undefined,
     });
   }
-  return seen;
+  return versionsByInstance;
 }
 
-function countLower(versions: readonly number[]): number {
-  return versions.filter((version, at) => version < (versions[at - 1] ?? 0)).length;
+function countVersionDecreases(versions: readonly number[]): number {
+  return versions.filter((version, index) => version < (versions[index - 1] ?? 0)).length;
 }
 
-function versionOf({ key, value }: { key: string; value: unknown }): number[] {
+function manifestVersions({ key, value }: { key: string; value: unknown }): number[] {
   return key.endsWith('/manifest') ? [(value as { version: number }).version] : [];
 }
--- a/packages/standins/src/experiments/configuration-spread/test.ts
+++ b/packages/standins/src/experiments/configuration-spread/test.ts
@@ -3,9 +3,9 @@
 
 const inForceWithinMs = 10_000;
 
-// A key was taken from a former employee, or a budget given to a new school. Whatever is wrong with
-// the watch, the store, its caches or the links, every instance that can be reached must act on it
-// within 10 s, and none may go back.
+// A change such as a revoked key or a new budget must be in force on every reachable instance within
+// 10 s, whichever of the store watch, the store, its caches or the links has a fault. No instance may
+// go back to an earlier version.
 test('a change is in force on all reachable instances within 10 s in each faulty case', async (t) => {
   const rows = await run({ seed: 1, flags: {} });
   t.is(rows.length, 11);
--- a/packages/standins/src/experiments/grants/_lib/CentralCounter/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/CentralCounter/index.ts
@@ -1,78 +1,79 @@
 import type { BudgetRef } from '@acaciacrank/ledger';
 
-/** What a counter holds for one budget on one side, in tokens. */
-interface Holding {
+/** State of the counter of one budget on one side of the partition. */
+interface CounterState {
   availableTokens: number;
-  /** Drawn since the last split, to weigh the next one. */
-  drawnTokens: number;
+  /** Requested so far, refused requests included; determines the shares at a split. */
+  requestedTokens: number;
 }
 
 /**
- * One counter for each budget, reached at once by everybody: what no fleet can be.
+ * One counter for each budget that every instance reaches without delay: an ideal baseline that no
+ * distributed ledger can attain.
  *
- * `split` turns it into the best that each side of a partition can do by what it knows: each side
- * takes the share of the remainder that its share of the draw so far suggests, and hears of
- * top-ups only where they arrive.
+ * `split` models the best that each side of a partition can do with the information that it has:
+ * the remaining tokens are divided in proportion to the demand of each side so far, and a top-up is
+ * visible only on the side on which it arrives.
  */
 export class CentralCounter {
-  readonly #sides: Map<string, Holding>[] = [new Map(), new Map()];
+  readonly #sides: Map<string, CounterState>[] = [new Map(), new Map()];
   #isSplit = false;
 
   constructor(budgets: readonly BudgetRef[]) {
     for (const { budgetId, openingTokens } of budgets) {
-      this.#sides[0]?.set(budgetId, { availableTokens: openingTokens, drawnTokens: 0 });
-      this.#sides[1]?.set(budgetId, { availableTokens: 0, drawnTokens: 0 });
+      this.#sides[0]?.set(budgetId, { availableTokens: openingTokens, requestedTokens: 0 });
+      this.#sides[1]?.set(budgetId, { availableTokens: 0, requestedTokens: 0 });
     }
   }
 
-  /** Holds tokens where there are enough. */
+  /** Reserves tokens and returns true, or returns false when too few are available. */
   reserve(budgetId: string, side: number, tokens: number): boolean {
-    this.#holding(budgetId, side).drawnTokens += tokens;
-    const holding = this.#holding(budgetId, this.#isSplit ? side : 0);
-    if (holding.availableTokens < tokens) return false;
-    holding.availableTokens -= tokens;
+    this.#counter(budgetId, side).requestedTokens += tokens;
+    const counter = this.#counter(budgetId, this.#isSplit ? side : 0);
+    if (counter.availableTokens < tokens) return false;
+    counter.availableTokens -= tokens;
     return true;
   }
 
-  /** Gives back what was held and not used. */
+  /** Returns reserved tokens that were not used. */
   giveBack(budgetId: string, side: number, tokens: number): void {
-    this.#holding(budgetId, this.#isSplit ? side : 0).availableTokens += tokens;
+    this.#counter(budgetId, this.#isSplit ? side : 0).availableTokens += tokens;
   }
 
-  /** Adds prepaid tokens, on the side that reaches the store. */
+  /** Adds prepaid tokens on the side that reaches the store. */
   topUp(budgetId: string, tokens: number): void {
-    this.#holding(budgetId, 0).availableTokens += tokens;
+    this.#counter(budgetId, 0).availableTokens += tokens;
   }
 
-  /** From now on the sides know nothing of each other. */
+  /** Starts the partition: divides the remaining tokens between the sides. */
   split(): void {
     this.#isSplit = true;
-    this.#forEachBudget((near, far) => {
-      const drawnTokens = near.drawnTokens + far.drawnTokens;
-      const share = drawnTokens === 0 ? 0 : far.drawnTokens / drawnTokens;
-      far.availableTokens = Math.floor(near.availableTokens * share);
-      near.availableTokens -= far.availableTokens;
+    this.#forEachBudget((storeSide, cutOffSide) => {
+      const requestedTokens = storeSide.requestedTokens + cutOffSide.requestedTokens;
+      const cutOffShare = requestedTokens === 0 ? 0 : cutOffSide.requestedTokens / requestedTokens;
+      cutOffSide.availableTokens = Math.floor(storeSide.availableTokens * cutOffShare);
+      storeSide.availableTokens -= cutOffSide.availableTokens;
     });
   }
 
-  /** The sides reach each other again. */
+  /** Ends the partition: adds the tokens of both sides together. */
   heal(): void {
     this.#isSplit = false;
-    this.#forEachBudget((near, far) => {
-      near.availableTokens += far.availableTokens;
-      far.availableTokens = 0;
+    this.#forEachBudget((storeSide, cutOffSide) => {
+      storeSide.availableTokens += cutOffSide.availableTokens;
+      cutOffSide.availableTokens = 0;
     });
   }
 
-  #forEachBudget(change: (near: Holding, far: Holding) => void): void {
+  #forEachBudget(update: (storeSide: CounterState, cutOffSide: CounterState) => void): void {
     for (const budgetId of this.#sides[0]?.keys() ?? []) {
-      change(this.#holding(budgetId, 0), this.#holding(budgetId, 1));
+      update(this.#counter(budgetId, 0), this.#counter(budgetId, 1));
     }
   }
 
-  #holding(budgetId: string, side: number): Holding {
-    const holding = this.#sides[side]?.get(budgetId);
-    if (holding === undefined) throw new Error(`no counter for ${budgetId}`);
-    return holding;
+  #counter(budgetId: string, side: number): CounterState {
+    const counter = this.#sides[side]?.get(budgetId);
+    if (counter === undefined) throw new Error(`no counter for ${budgetId}`);
+    return counter;
   }
 }
--- a/packages/standins/src/experiments/grants/_lib/CentralCounter/test.ts
+++ b/packages/standins/src/experiments/grants/_lib/CentralCounter/test.ts
@@ -8,7 +8,7 @@
   openingTokens: 100,
 };
 
-test('a whole counter refuses only what is not there', (t) => {
+test('a counter that is not split refuses only what exceeds the available tokens', (t) => {
   const counter = new CentralCounter([budget]);
   t.true(counter.reserve('b', 0, 60));
   t.false(counter.reserve('b', 1, 41));
@@ -16,8 +16,9 @@
   t.true(counter.reserve('b', 1, 41));
 });
 
-// Two sides lose each other after each drew as much; a top-up then reaches only the near side.
-test('a split counter knows only what its side can know', (t) => {
+// The partition begins after both sides have requested the same number of tokens; the top-up
+// reaches only the side that is connected to the store.
+test('a split counter uses only the tokens that its side knows of', (t) => {
   const counter = new CentralCounter([budget]);
   t.true(counter.reserve('b', 0, 10));
   t.true(counter.reserve('b', 1, 10));
--- a/packages/standins/src/experiments/grants/_lib/placeRequest/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/placeRequest/index.ts
@@ -2,70 +2,74 @@
 import { cutOffInstances, instanceCount, type FaultCase } from '../cases/index.js';
 import type { WorkloadRequest } from '../workload/index.js';
 
-/** How many instances the directory names to one account. */
+/** Number of instances that the directory returns for one account. */
 const instancesPerAccount = 3;
-/** How long until a lost instance is replaced, in milliseconds. */
-export const replaceAfterMs = 5_000;
+/** Time until a lost instance is replaced, in milliseconds. */
+export const replacementDelayMs = 5_000;
 
-/** Where a request goes; the same for every policy. */
+/** The instance that serves a request; the same for every policy. */
 export interface Placement {
-  /** Number of the instance, from 0. */
+  /** Index of the instance in the fleet, from 0; a replacement takes over the index. */
   readonly slot: number;
-  /** 0 for the side that reaches the store, 1 for the other. */
+  /** Side of the partition: 0 reaches the store, 1 does not. */
   readonly side: number;
-  /** When the instance is lost while the request runs; undefined when it is not. */
+  /** When the instance is lost while the request runs; undefined if it is not lost by then. */
   readonly lostAtMs: number | undefined;
 }
 
 /**
- * Chooses a request's instance: callers keep to their account's instances, and turn to the next one
- * while theirs is gone.
+ * Selects the instance of a request: one of the account's preferred instances, or the next of these
+ * while that one is being replaced.
  *
  * @param request - the request
- * @param faultCase - what goes wrong
+ * @param faultCase - the injected faults
  *
  * @example
  * const { slot } = placeRequest(request, { name: 'calm' });
  */
 export function placeRequest(request: WorkloadRequest, faultCase: FaultCase): Placement {
-  const preferred = slotsOf(request.budget.accountId);
-  const first = Math.floor(request.draw * preferred.length);
+  const preferred = preferredSlotsOf(request.budget.accountId);
+  const first = Math.floor(request.instanceDraw * preferred.length);
   const candidates = [...preferred.slice(first), ...preferred.slice(0, first)];
-  const isUp = (slot: number) => !isReplacing(slot, request.atMs, faultCase);
+  const isUp = (slot: number) => !isBeingReplaced(slot, request.atMs, faultCase);
   const slot = candidates.find(isUp) ?? 0;
-  const lossMs = nextLossMs(slot, request.atMs, faultCase);
+  const nextLostMs = nextLossTimeMs(slot, request.atMs, faultCase);
   const endMs = request.atMs + request.durationMs;
   return {
     slot,
     side: cutOffInstances.has(slot) ? 1 : 0,
-    lostAtMs: lossMs !== undefined && lossMs < endMs ? lossMs : undefined,
+    lostAtMs: nextLostMs !== undefined && nextLostMs < endMs ? nextLostMs : undefined,
   };
 }
 
-/** When an instance is lost: they take turns. */
+/** Times before `untilMs` at which an instance is lost; instances are lost in round-robin order. */
 export function lossTimesMs(slot: number, untilMs: number, faultCase: FaultCase): number[] {
-  const { lossEveryMs } = faultCase;
-  if (lossEveryMs === undefined) return [];
+  const { lossIntervalMs } = faultCase;
+  if (lossIntervalMs === undefined) return [];
   const times: number[] = [];
-  for (let atMs = (slot + 1) * lossEveryMs; atMs < untilMs; atMs += instanceCount * lossEveryMs) {
+  for (
+    let atMs = (slot + 1) * lossIntervalMs;
+    atMs < untilMs;
+    atMs += instanceCount * lossIntervalMs
+  ) {
     times.push(atMs);
   }
   return times;
 }
 
-function isReplacing(slot: number, atMs: number, faultCase: FaultCase): boolean {
+function isBeingReplaced(slot: number, atMs: number, faultCase: FaultCase): boolean {
   const times = lossTimesMs(slot, atMs + 1, faultCase);
-  return times.some((lostMs) => atMs >= lostMs && atMs < lostMs + replaceAfterMs);
+  return times.some((lostMs) => atMs >= lostMs && atMs < lostMs + replacementDelayMs);
 }
 
-function nextLossMs(slot: number, atMs: number, faultCase: FaultCase): number | undefined {
-  const roundMs = instanceCount * (faultCase.lossEveryMs ?? 0);
-  const times = lossTimesMs(slot, atMs + roundMs + 1, faultCase);
+function nextLossTimeMs(slot: number, atMs: number, faultCase: FaultCase): number | undefined {
+  const lossCycleMs = instanceCount * (faultCase.lossIntervalMs ?? 0);
+  const times = lossTimesMs(slot, atMs + lossCycleMs + 1, faultCase);
   return times.find((lostMs) => lostMs > atMs);
 }
 
-/** Rendezvous hashing, as the directory does it. */
-function slotsOf(accountId: string): number[] {
+/** The account's instances by rendezvous hashing, as in the directory. */
+function preferredSlotsOf(accountId: string): number[] {
   const score = (slot: number) => hashText(`${accountId}\n${slot}`);
   return [...Array(instanceCount).keys()]
     .sort((a, b) => score(b) - score(a))
--- a/packages/standins/src/experiments/grants/_lib/runOracle/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/runOracle/index.ts
@@ -4,52 +4,52 @@
 import type { WorkloadRequest } from '../workload/index.js';
 import type { BudgetRef } from '@acaciacrank/ledger';
 
-/** What one oracle is asked. */
-export interface OracleRun {
+/** Options of {@link runOracle}. */
+export interface OracleOptions {
   readonly requests: readonly WorkloadRequest[];
   readonly budgets: readonly BudgetRef[];
   readonly faultCase: FaultCase;
-  /** Whether it knows only what each side of the partition can know. */
+  /** Whether each side of the partition decides only with the information that it has. */
   readonly isOneSided: boolean;
 }
 
-interface Event {
+interface SimulationEvent {
   readonly atMs: number;
   readonly run: () => void;
 }
 
 /**
- * Decides every request with counters that answer at once.
+ * Simulates admission by a central counter without latency, as a baseline for the policies.
  *
- * @param options - requests, budgets and the case
- * @returns the numbers of the requests it admits
+ * @param options - requests, budgets and the fault case
+ * @returns the indexes of the admitted requests
  *
  * @example
  * const admitted = runOracle({ requests, budgets, faultCase, isOneSided: false });
  */
-export function runOracle(options: OracleRun): ReadonlySet<number> {
+export function runOracle(options: OracleOptions): ReadonlySet<number> {
   const { requests, budgets, faultCase } = options;
   const counter = new CentralCounter(budgets);
   const admitted = new Set<number>();
   const events = [
-    ...caseEvents(options, counter),
+    ...createFaultEvents(options, counter),
     ...requests.flatMap((request) => {
       const placement = placeRequest(request, faultCase);
-      return requestEvents(request, placement, counter, admitted);
+      return createRequestEvents(request, placement, counter, admitted);
     }),
   ];
   for (const event of events.sort((a, b) => a.atMs - b.atMs)) event.run();
   return admitted;
 }
 
-/** The top-up that a budget gets in the top-up case, in tokens. */
+/** Size of a budget's top-up in the top-up case, in tokens. */
 export function topUpTokensOf(budget: BudgetRef): number {
   return Math.round(budget.openingTokens * topUpShare);
 }
 
-function caseEvents(options: OracleRun, counter: CentralCounter): Event[] {
+function createFaultEvents(options: OracleOptions, counter: CentralCounter): SimulationEvent[] {
   const { budgets, faultCase, isOneSided } = options;
-  const events: Event[] = [];
+  const events: SimulationEvent[] = [];
   const { partition, topUpAtMs } = faultCase;
   if (isOneSided && partition !== undefined) {
     events.push({
@@ -74,25 +74,25 @@
   return events;
 }
 
-function requestEvents(
+function createRequestEvents(
   request: WorkloadRequest,
   placement: Placement,
   counter: CentralCounter,
   admitted: Set<number>,
-): Event[] {
+): SimulationEvent[] {
   const { budgetId } = request.budget;
   const endMs = placement.lostAtMs ?? request.atMs + request.durationMs;
   const usedTokens = placement.lostAtMs === undefined ? request.actualTokens : 0;
-  const begin = () => {
-    const isHeld = counter.reserve(budgetId, placement.side, request.worstCaseTokens);
-    if (isHeld) admitted.add(request.index);
+  const reserve = () => {
+    const isReserved = counter.reserve(budgetId, placement.side, request.worstCaseTokens);
+    if (isReserved) admitted.add(request.index);
   };
-  const end = () => {
+  const release = () => {
     if (!admitted.has(request.index)) return;
     counter.giveBack(budgetId, placement.side, request.worstCaseTokens - usedTokens);
   };
   return [
-    { atMs: request.atMs, run: begin },
-    { atMs: endMs, run: end },
+    { atMs: request.atMs, run: reserve },
+    { atMs: endMs, run: release },
   ];
 }
--- a/packages/standins/src/experiments/grants/_lib/runPolicy/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/runPolicy/index.ts
@@ -16,13 +16,19 @@
 } from '@acaciacrank/ledger';
 import { LocalGrantNetwork } from '../../../../LocalGrantNetwork/index.js';
 import { MemoryObjectStore, MemoryPlatform, type PlatformCalls } from '@acaciacrank/store';
-import { cutOffInstances, instanceCount, isWithin, runMs, type FaultCase } from '../cases/index.js';
-import { lossTimesMs, placeRequest, replaceAfterMs } from '../placeRequest/index.js';
+import {
+  cutOffInstances,
+  instanceCount,
+  isWithinSpan,
+  runMs,
+  type FaultCase,
+} from '../cases/index.js';
+import { lossTimesMs, placeRequest, replacementDelayMs } from '../placeRequest/index.js';
 import { topUpTokensOf } from '../runOracle/index.js';
 import type { WorkloadRequest } from '../workload/index.js';
 
-/** What one run drives. */
-export interface PolicyRun {
+/** Options of {@link runPolicy}. */
+export interface PolicyRunOptions {
   readonly requests: readonly WorkloadRequest[];
   readonly budgets: readonly BudgetRef[];
   readonly faultCase: FaultCase;
@@ -30,19 +36,19 @@
   readonly makePolicy: () => GrantPolicy;
 }
 
-/** What one run showed. */
+/** Result of one run. */
 export interface PolicyOutcome {
   readonly refused: ReadonlySet<number>;
-  /** Tokens generated, or settled, beyond what was prepaid; over all budgets. */
+  /** Tokens generated or settled beyond the prepaid tokens, summed over all budgets. */
   readonly overspendTokens: number;
   readonly strandedTokens: number;
   readonly calls: PlatformCalls;
 }
 
-/** How long one call of the store takes, in milliseconds. */
+/** Latency of one store call, in milliseconds. */
 const storeDelayMs = 4;
-/** How long after the last request the remainders are looked at, in milliseconds. */
-const restMs = 120_000;
+/** Time between the end of arrivals and the audit of the budgets, in milliseconds. */
+const auditDelayMs = 120_000;
 
 interface RunningLedger {
   readonly store: MemoryObjectStore;
@@ -51,21 +57,21 @@
 }
 
 /**
- * Runs the workload against real ledgers, a stand-in of the platform and a manual clock.
+ * Runs the workload against real ledgers with a fake platform, in virtual time.
  *
- * @param options - workload, case and policy
- * @returns what callers and the platform saw
+ * @param options - workload, fault case and policy
+ * @returns the refused requests, the budget totals and the number of store calls
  *
  * @example
  * const { refused } = await runPolicy({ requests, budgets, faultCase, seed, makePolicy });
  */
-export async function runPolicy(options: PolicyRun): Promise<PolicyOutcome> {
+export async function runPolicy(options: PolicyRunOptions): Promise<PolicyOutcome> {
   const fleet = new LedgerFleet(options);
   return fleet.run();
 }
 
 class LedgerFleet {
-  readonly #options: PolicyRun;
+  readonly #options: PolicyRunOptions;
   readonly #clock = new ManualClock();
   readonly #platform = new MemoryPlatform(this.#clock, 0, { isSharing: true });
   readonly #network = new LocalGrantNetwork({
@@ -75,11 +81,11 @@
   readonly #slots: RunningLedger[] = [];
   readonly #refused = new Set<number>();
   readonly #generatedTokens = new Map<string, number>();
-  #started = 0;
+  #startCount = 0;
 
-  constructor(options: PolicyRun) {
+  constructor(options: PolicyRunOptions) {
     this.#options = options;
-    for (let slot = 0; slot < instanceCount; slot += 1) this.#slots.push(this.#start(slot));
+    for (let slot = 0; slot < instanceCount; slot += 1) this.#slots.push(this.#startLedger(slot));
   }
 
   async run(): Promise<PolicyOutcome> {
@@ -88,24 +94,24 @@
       this.#clock.schedule(request.atMs, () => void this.#serve(request));
     }
     this.#scheduleFaults(faultCase);
-    await this.#clock.advance(runMs + restMs);
+    await this.#clock.advance(runMs + auditDelayMs);
     const calls = { ...this.#platform.calls };
     const { overspendTokens, strandedTokens } = await this.#audit();
     return { refused: this.#refused, overspendTokens, strandedTokens, calls };
   }
 
-  #start(slot: number): RunningLedger {
-    this.#started += 1;
+  #startLedger(slot: number): RunningLedger {
+    this.#startCount += 1;
     const store = new MemoryObjectStore(this.#platform, this.#clock);
     store.link.delayMs = storeDelayMs;
-    const instanceId = `i${slot}-${this.#started}` as InstanceId;
+    const instanceId = `i${slot}-${this.#startCount}` as InstanceId;
     const ledger = new BudgetLedger({
       store,
       clock: this.#clock,
-      random: createRandom(this.#options.seed * 1_000 + this.#started),
+      random: createRandom(this.#options.seed * 1_000 + this.#startCount),
       instanceId,
       peers: this.#network.peersOf(instanceId),
-      incarnation: String(this.#started),
+      incarnation: String(this.#startCount),
       policy: this.#options.makePolicy(),
     });
     return { store, ledger, isLost: false };
@@ -113,35 +119,38 @@
 
   #scheduleFaults(faultCase: FaultCase): void {
     const { partition, outage, topUpAtMs } = faultCase;
-    for (const edgeMs of [partition, outage].flatMap((span) => [span?.fromMs, span?.untilMs])) {
-      if (edgeMs !== undefined)
-        this.#clock.schedule(edgeMs, () => {
-          this.#setLinks();
+    for (const transitionMs of [partition, outage].flatMap((span) => [
+      span?.fromMs,
+      span?.untilMs,
+    ])) {
+      if (transitionMs !== undefined)
+        this.#clock.schedule(transitionMs, () => {
+          this.#updateStoreLinks();
         });
     }
-    if (topUpAtMs !== undefined) this.#clock.schedule(topUpAtMs, () => void this.#topUp());
+    if (topUpAtMs !== undefined) this.#clock.schedule(topUpAtMs, () => void this.#topUpBudgets());
     for (let slot = 0; slot < instanceCount; slot += 1) {
       for (const lostMs of lossTimesMs(slot, runMs, faultCase)) {
         this.#clock.schedule(lostMs, () => {
-          this.#lose(slot);
+          this.#loseInstance(slot);
         });
-        this.#clock.schedule(lostMs + replaceAfterMs, () => {
-          this.#slots[slot] = this.#start(slot);
+        this.#clock.schedule(lostMs + replacementDelayMs, () => {
+          this.#slots[slot] = this.#startLedger(slot);
         });
       }
     }
   }
 
-  #setLinks(): void {
+  #updateStoreLinks(): void {
     const { partition, outage } = this.#options.faultCase;
     const nowMs = this.#clock.monotonicMs();
     for (const [slot, { store }] of this.#slots.entries()) {
-      const isAway = isWithin(partition, nowMs) && cutOffInstances.has(slot);
-      store.link.isDown = isAway || isWithin(outage, nowMs);
+      const isPartitioned = isWithinSpan(partition, nowMs) && cutOffInstances.has(slot);
+      store.link.isDown = isPartitioned || isWithinSpan(outage, nowMs);
     }
   }
 
-  #lose(slot: number): void {
+  #loseInstance(slot: number): void {
     const lost = this.#slots[slot];
     if (lost === undefined) return;
     lost.isLost = true;
@@ -150,11 +159,11 @@
   }
 
   #areConnected(from: InstanceId, to: InstanceId): boolean {
-    if (!isWithin(this.#options.faultCase.partition, this.#clock.monotonicMs())) return true;
+    if (!isWithinSpan(this.#options.faultCase.partition, this.#clock.monotonicMs())) return true;
     return isCutOff(from) === isCutOff(to);
   }
 
-  async #topUp(): Promise<void> {
+  async #topUpBudgets(): Promise<void> {
     const store = new MemoryObjectStore(this.#platform, this.#clock);
     for (const budget of this.#options.budgets) {
       await topUpBudget(store, this.#clock, budget, 'top-up-1', topUpTokensOf(budget));
@@ -169,8 +178,8 @@
     if (reservation === undefined) return;
     const startedMs = this.#clock.monotonicMs();
     await this.#clock.sleep(request.durationMs);
-    const share = instance.isLost ? this.#shareGenerated(request, slot, startedMs) : 1;
-    this.#countGenerated(request, Math.ceil(request.actualTokens * share));
+    const generatedShare = instance.isLost ? this.#generatedShare(request, slot, startedMs) : 1;
+    this.#addGeneratedTokens(request, Math.ceil(request.actualTokens * generatedShare));
     if (instance.isLost) return;
     await instance.ledger.settle(reservation, {
       requestKey: `k${request.index}` as RequestKey,
@@ -193,20 +202,23 @@
     }
   }
 
-  /** A lost instance stopped its streams when it was lost. */
-  #shareGenerated(request: WorkloadRequest, slot: number, startedMs: number): number {
+  /** Fraction of the answer that was generated before its instance was lost, which ends all streams. */
+  #generatedShare(request: WorkloadRequest, slot: number, startedMs: number): number {
     const lostMs = lossTimesMs(slot, runMs, this.#options.faultCase).find(
       (atMs) => atMs >= startedMs,
     );
     return lostMs === undefined ? 1 : (lostMs - startedMs) / request.durationMs;
   }
 
-  #countGenerated(request: WorkloadRequest, tokens: number): void {
+  #addGeneratedTokens(request: WorkloadRequest, tokens: number): void {
     const { budgetId } = request.budget;
     this.#generatedTokens.set(budgetId, (this.#generatedTokens.get(budgetId) ?? 0) + tokens);
   }
 
-  /** Compares what was generated, not what the ledgers say of themselves, with what was prepaid. */
+  /**
+   * Computes overspend from the tokens that were really generated, not only from those that the
+   * ledgers report as settled.
+   */
   async #audit(): Promise<{ overspendTokens: number; strandedTokens: number }> {
     const store = new MemoryObjectStore(this.#platform, this.#clock);
     let overspendTokens = 0;
@@ -224,7 +236,7 @@
   }
 }
 
-/** The instance's name begins with its number. */
+/** The id has the form `i<index>-<start count>`. */
 function isCutOff(instanceId: InstanceId): boolean {
   return cutOffInstances.has(Number(instanceId.slice(1).split('-')[0]));
 }
--- a/packages/standins/src/experiments/grants/_lib/workload/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/workload/index.ts
@@ -1,34 +1,35 @@
 /**
- * Seeded requests of both deployments, for the grants experiment.
+ * Seeded workloads of both deployments for the grants experiment.
  */
 import { createRandom, type AccountId, type BudgetId, type Random } from '@acaciacrank/base';
 import type { BudgetRef } from '@acaciacrank/ledger';
 
-/** One class of requests. */
+/** One request class and its share of the requests. */
 interface ClassMix {
   readonly share: number;
+  /** Minimum and maximum; drawn uniformly. */
   readonly promptTokens: readonly [number, number];
   readonly maxOutputTokens: number;
 }
 
-/** What one deployment's callers send. */
+/** The request mix of one deployment. */
 export interface Deployment {
   readonly name: string;
   readonly classes: readonly ClassMix[];
 }
 
-/** One request, the same for every policy. */
+/** One request; every policy is given the same requests. */
 export interface WorkloadRequest {
   readonly index: number;
   readonly atMs: number;
   readonly budget: BudgetRef;
-  /** What is reserved, in tokens. */
+  /** Tokens that are reserved before the request runs. */
   readonly worstCaseTokens: number;
-  /** What is billed in the end, in tokens. */
+  /** Tokens that are settled when the request ends. */
   readonly actualTokens: number;
   readonly durationMs: number;
-  /** Chooses among the account's instances; in [0, 1). */
-  readonly draw: number;
+  /** Random number in [0, 1) that selects one of the account's instances. */
+  readonly instanceDraw: number;
 }
 
 /** Both deployments: shift prompts, reviews and tagging; chat, plan drafts and tagging. */
@@ -51,23 +52,23 @@
   },
 ];
 
-/** Share of the requests, and budget as a multiple of what the run is expected to draw. */
-const accounts: readonly { share: number; coverage: number }[] = [
-  { share: 0.25, coverage: 4 },
-  { share: 0.2, coverage: 0.8 },
-  { share: 0.15, coverage: 2.5 },
-  { share: 0.08, coverage: 3 },
-  { share: 0.07, coverage: 0.7 },
-  { share: 0.06, coverage: 6 },
-  { share: 0.06, coverage: 1.5 },
-  { share: 0.05, coverage: 0.9 },
-  { share: 0.05, coverage: 5 },
-  { share: 0.03, coverage: 2 },
+/** Share of the requests of each account, and its budget as a multiple of its expected usage. */
+const accounts: readonly { share: number; budgetCoverage: number }[] = [
+  { share: 0.25, budgetCoverage: 4 },
+  { share: 0.2, budgetCoverage: 0.8 },
+  { share: 0.15, budgetCoverage: 2.5 },
+  { share: 0.08, budgetCoverage: 3 },
+  { share: 0.07, budgetCoverage: 0.7 },
+  { share: 0.06, budgetCoverage: 6 },
+  { share: 0.06, budgetCoverage: 1.5 },
+  { share: 0.05, budgetCoverage: 0.9 },
+  { share: 0.05, budgetCoverage: 5 },
+  { share: 0.03, budgetCoverage: 2 },
 ];
 
 const tokenGapMs = 40;
 
-/** Size of a workload. */
+/** Seed and size of a workload. */
 export interface WorkloadOptions {
   readonly seed: number;
   readonly durationMs: number;
@@ -75,11 +76,11 @@
 }
 
 /**
- * Draws a workload.
+ * Generates a workload with Poisson arrivals.
  *
- * @param deployment - whose mix
+ * @param deployment - the request mix
  * @param options - seed and size
- * @returns requests in order of time
+ * @returns requests in order of arrival
  *
  * @example
  * const requests = drawWorkload(deployments[0], { seed: 1, durationMs: 60_000, requestsPerSecond: 4 });
@@ -92,26 +93,27 @@
   for (;;) {
     atMs += (-Math.log(1 - random()) * 1_000) / options.requestsPerSecond;
     if (atMs >= options.durationMs) return requests;
-    const budget = pick(random, accounts, budgets);
-    const mix = pick(random, deployment.classes, deployment.classes);
+    const budget = pickWeighted(random, accounts, budgets);
+    const mix = pickWeighted(random, deployment.classes, deployment.classes);
     requests.push(drawRequest(random, requests.length, Math.round(atMs), budget, mix));
   }
 }
 
-/** The deployment's budgets, one an account. */
+/** The deployment's budgets, one for each account. */
 export function budgetsOf(deployment: Deployment, options: WorkloadOptions): BudgetRef[] {
   const expectedTokens =
     meanTokens(deployment) * options.requestsPerSecond * (options.durationMs / 1_000);
-  return accounts.map(({ share, coverage }, index) => ({
+  return accounts.map(({ share, budgetCoverage }, index) => ({
     accountId: `${deployment.name}-${index + 1}` as AccountId,
     budgetId: `${deployment.name}-${index + 1}-2026` as BudgetId,
-    openingTokens: Math.round(expectedTokens * share * coverage),
+    openingTokens: Math.round(expectedTokens * share * budgetCoverage),
   }));
 }
 
 function meanTokens(deployment: Deployment): number {
   return deployment.classes.reduce((sum, mix) => {
     const [low, high] = mix.promptTokens;
+    // The output length is uniform between 0.2 and 1 times the maximum, so its mean is 0.6 times.
     return sum + mix.share * ((low + high) / 2 + mix.maxOutputTokens * 0.6);
   }, 0);
 }
@@ -133,20 +135,20 @@
     worstCaseTokens: promptTokens + mix.maxOutputTokens,
     actualTokens: promptTokens + outputTokens,
     durationMs: 200 + outputTokens * tokenGapMs,
-    draw: random(),
+    instanceDraw: random(),
   };
 }
 
-function pick<Item>(
+function pickWeighted<Item>(
   random: Random,
   weights: readonly { share: number }[],
   items: readonly Item[],
 ): Item {
-  let left = random();
+  let remainingWeight = random();
   for (const [index, { share }] of weights.entries()) {
-    left -= share;
+    remainingWeight -= share;
     const item = items[index];
-    if (left < 0 && item !== undefined) return item;
+    if (remainingWeight < 0 && item !== undefined) return item;
   }
   return items[0] as Item;
 }
--- a/packages/standins/src/experiments/grants/index.ts
+++ b/packages/standins/src/experiments/grants/index.ts
@@ -1,5 +1,6 @@
 /**
- * Compares grant policies under both deployments' workloads and faults, on virtual time.
+ * Compares grant policies under the workloads of both deployments with injected faults, in virtual
+ * time.
  */
 import {
   DemandGrantPolicy,
@@ -29,7 +30,7 @@
 ];
 const defaultPolicy = 'demand';
 
-/** One cell of the table, in the words of its users. */
+/** One row of the result table. */
 interface Cell {
   readonly deployment: string;
   readonly policy: string;
@@ -45,10 +46,10 @@
 }
 
 /**
- * Runs every deployment, case, seed and policy, and both oracles next to them.
+ * Runs all policies and both oracles for each deployment, fault case and seed.
  *
  * @param options - the first seed
- * @returns one row a cell
+ * @returns one row for each run
  */
 export async function run(options: { readonly seed: number }): Promise<readonly ResultRow[]> {
   const rows: Cell[] = [];
@@ -62,7 +63,7 @@
   return rows.map((row) => ({ ...row }));
 }
 
-/** All policies on one workload. */
+/** Runs both oracles and all policies on one workload. */
 export async function runSeed(
   deployment: Deployment,
   faultCase: FaultCase,
@@ -71,31 +72,35 @@
   const size = { seed, durationMs: runMs, requestsPerSecond };
   const requests = drawWorkload(deployment, size);
   const budgets = budgetsOf(deployment, size);
-  const setting = { requests, budgets, faultCase };
-  const central = runOracle({ ...setting, isOneSided: false });
-  const oneSided = runOracle({ ...setting, isOneSided: true });
-  const shared = {
+  const runInputs = { requests, budgets, faultCase };
+  const admittedByCentral = runOracle({ ...runInputs, isOneSided: false });
+  const admittedByOneSided = runOracle({ ...runInputs, isOneSided: true });
+  const sharedColumns = {
     deployment: deployment.name,
     case: faultCase.name,
     seed,
     requests: requests.length,
   };
   const refusedByOneSided = new Set(
-    requests.map(({ index }) => index).filter((index) => !oneSided.has(index)),
+    requests.map(({ index }) => index).filter((index) => !admittedByOneSided.has(index)),
   );
   const rows: Cell[] = [
-    oracleCell(shared, 'oracleCentral', 0),
-    oracleCell(shared, 'oracleOneSide', falseRefusalPercent(refusedByOneSided, central)),
+    oracleCell(sharedColumns, 'oracleCentral', 0),
+    oracleCell(
+      sharedColumns,
+      'oracleOneSide',
+      falseRefusalPercent(refusedByOneSided, admittedByCentral),
+    ),
   ];
   for (const makePolicy of policies) {
-    const outcome = await runPolicy({ ...setting, seed, makePolicy });
+    const outcome = await runPolicy({ ...runInputs, seed, makePolicy });
     const { name } = makePolicy();
     rows.push({
-      ...shared,
+      ...sharedColumns,
       policy: name,
       isDefault: name === defaultPolicy,
       overspendTokens: outcome.overspendTokens,
-      falseRefusalPercent: falseRefusalPercent(outcome.refused, central),
+      falseRefusalPercent: falseRefusalPercent(outcome.refused, admittedByCentral),
       strandedTokens: outcome.strandedTokens,
       storeWritesPer1000Requests: perThousand(outcome.calls.writes, requests),
       storeReadsPer1000Requests: perThousand(outcome.calls.reads, requests),
@@ -104,14 +109,14 @@
   return rows;
 }
 
-/** An oracle strands nothing and calls no store. */
+/** An oracle strands no tokens and makes no store calls. */
 function oracleCell(
-  shared: Pick<Cell, 'deployment' | 'case' | 'seed' | 'requests'>,
+  sharedColumns: Pick<Cell, 'deployment' | 'case' | 'seed' | 'requests'>,
   policy: string,
   percent: number,
 ): Cell {
   return {
-    ...shared,
+    ...sharedColumns,
     policy,
     isDefault: false,
     overspendTokens: 0,
@@ -122,10 +127,13 @@
   };
 }
 
-/** Of the requests that a central counter admits, the share that was refused. */
-function falseRefusalPercent(refused: ReadonlySet<number>, central: ReadonlySet<number>): number {
-  const falsely = [...refused].filter((index) => central.has(index)).length;
-  return round((100 * falsely) / Math.max(1, central.size));
+/** Percentage of the requests admitted by a central counter that were refused. */
+function falseRefusalPercent(
+  refused: ReadonlySet<number>,
+  admittedByCentral: ReadonlySet<number>,
+): number {
+  const falseRefusals = [...refused].filter((index) => admittedByCentral.has(index)).length;
+  return round((100 * falseRefusals) / Math.max(1, admittedByCentral.size));
 }
 
 function perThousand(calls: number, requests: readonly WorkloadRequest[]): number {
--- a/packages/standins/src/experiments/membership/_lib/configurationStories/test.ts
+++ b/packages/standins/src/experiments/membership/_lib/configurationScenarios/test.ts
@@ -4,16 +4,16 @@
 import { MemberFleet } from '../../../../_lib/MemberFleet/index.js';
 import { createLocalFleet } from '../../../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
-import { configurationStories } from './index.js';
+import { configurationScenarios } from './index.js';
 
-// The store answers one instance only, which gets a new version. All others must act on it within
-// 10 s by way of the links: also when links lose messages, when a partition has healed, and when an
-// instance has just started. Nobody may ever go back.
-for (const [name, story] of Object.entries(configurationStories)) {
+// Only one instance gets a new version from the store. All others must get it over the links within
+// 10 s, also when links drop messages, after a partition has healed, and when an instance has just
+// started. No instance may go back to an earlier version.
+for (const [name, runConfigurationScenario] of Object.entries(configurationScenarios)) {
   test(`a version is in force everywhere within 10 s: ${name}`, async (t) => {
     const fleet = new MemberFleet(12);
     await fleet.timeUntil(() => fleet.isWhole, 10_000);
-    const settledMs = await story(fleet);
+    const settledMs = await runConfigurationScenario(fleet);
     t.true(settledMs !== undefined && settledMs < 10_000, `${settledMs}`);
     for (const { id, versions } of fleet.nodes.values()) {
       t.deepEqual(
@@ -25,9 +25,9 @@
   });
 }
 
-// An operator accepts a document while the store answers one instance of five only. The others get
-// the manifest and each of its objects from peers, and act on it within 10 s.
-test('whole instances take a version and its objects from peers while the store is down', async (t) => {
+// An operator accepts a document while only one of five instances reaches the store. The others must
+// fetch the manifest and each of its objects from peers and apply them within 10 s.
+test('instances fetch a version and its objects from peers while the store is down', async (t) => {
   const document = (deadlineMs: number) => `environment: spread
 classes:
   - { name: shift, firstTokenDeadlineMs: ${deadlineMs}, totalDeadlineMs: 60000 }
@@ -40,8 +40,8 @@
   const { clock, platform, instances } = fleet;
   await clock.advance(5_000);
   for (const { store } of instances.slice(1)) store.link.isDown = true;
-  const operator = new MemoryObjectStore(platform, clock);
-  await clock.runUntil(acceptDocument(operator, clock, document(3_000)));
+  const operatorStore = new MemoryObjectStore(platform, clock);
+  await clock.runUntil(acceptDocument(operatorStore, clock, document(3_000)));
   await clock.advance(10_000);
   for (const { id, instance } of instances) {
     const { version, index } = instance.configuration.current();
--- a/packages/standins/src/experiments/membership/_lib/rollingReplacement/index.ts
+++ b/packages/standins/src/experiments/membership/_lib/rollingReplacement/index.ts
@@ -1,5 +1,5 @@
 /**
- * Replaces all instances of a fleet, one after the other, while callers go on.
+ * Rolling replacement of all instances of a fleet under load.
  */
 import {
   createRandom,
@@ -18,27 +18,27 @@
   type LocalInstance,
 } from '../../../../createLocalFleet/index.js';
 
-/** Options of {@link replaceAll}. */
-export interface ReplaceAllOptions {
+/** Options of {@link replaceAllInstances}. */
+export interface ReplaceAllInstancesOptions {
   seed: number;
   instances?: number;
   /** Mean time between two requests, in milliseconds. */
   requestEveryMs?: number;
-  /** How far the platform's list lags, in milliseconds. */
+  /** Delay until a change shows in the platform's instance list, in milliseconds. */
   listLagMs?: number;
 }
 
-/** What callers saw, and what the stops came to. */
-export interface ReplaceAllResult {
+/** Outcomes of the requests and of the planned stops. */
+export interface ReplaceAllInstancesResult {
   readonly requests: number;
   readonly answered: number;
   readonly refused: number;
   readonly brokenOff: number;
-  /** Requests that the stops cut off. */
+  /** Requests that were cut off because an instance stopped. */
   readonly cutOff: number;
   readonly replaced: number;
   readonly durationMs: number;
-  /** The kinds of all errors that callers saw. */
+  /** Kinds of all errors that callers received. */
   readonly errors: readonly string[];
 }
 
@@ -60,69 +60,81 @@
   .join('\n')}
 `;
 
-/** One client account's caller: asks the directory, keeps the answer, goes where it says. */
+/**
+ * A caller of one client account in one failure domain. It caches the directory's response and calls
+ * the first instance in it.
+ */
 class Caller {
   readonly #fleet: LocalFleet;
   readonly #account: string;
-  readonly #near: string;
-  #answer: DirectoryResponse | undefined;
-  #askedAtMs = 0;
-  #calls = 0;
+  readonly #callerDomain: string;
+  #directoryResponse: DirectoryResponse | undefined;
+  #fetchedAtMs = 0;
+  #callCount = 0;
 
-  constructor(fleet: LocalFleet, account: string, near: string) {
+  constructor(fleet: LocalFleet, account: string, callerDomain: string) {
     this.#fleet = fleet;
     this.#account = account;
-    this.#near = near;
+    this.#callerDomain = callerDomain;
   }
 
   /**
-   * Makes one call at the first instance that the directory names.
+   * Makes one call to the first instance that the directory returns.
    *
-   * @throws RouterError of the refusal, or of the break
+   * @throws RouterError when the request is refused or the stream breaks
    */
   async call(onFrame: () => void): Promise<void> {
-    this.#calls += 1;
-    const local = this.#find(this.#directory().instances[0]?.id ?? '');
-    if (!local.instance.isAccepting) throw new RouterError('instanceLeaving', `${local.id} leaves`);
-    using underWay = local.instance.beginRequest(this.#key);
+    this.#callCount += 1;
+    const local = this.#findInstance(this.#lookUpDirectory().instances[0]?.id ?? '');
+    if (!local.instance.isAccepting)
+      throw new RouterError('instanceLeaving', `${local.id} is leaving`);
+    using openRequest = local.instance.beginRequest(this.#key);
     const call: ChatCall = {
       accountKey: this.#key,
       budgetId: `${this.#account}-2026` as BudgetId,
       className: 'shift' as ClassName,
-      idempotencyKey: `${this.#account}-${this.#near}-${this.#calls}`,
+      idempotencyKey: `${this.#account}-${this.#callerDomain}-${this.#callCount}`,
       model: 'small',
-      messages: [{ role: 'user', content: `${this.#account} asks ${this.#calls}` }],
-      // One call in ten is a long review, which outlasts the time of a directory answer.
-      maxTokens: this.#calls % 10 === 0 ? 600 : 40,
+      messages: [{ role: 'user', content: `${this.#account} asks ${this.#callCount}` }],
+      // One call in ten is a long review, which takes longer than a directory response is valid.
+      maxTokens: this.#callCount % 10 === 0 ? 600 : 40,
     };
     for await (const frame of local.instance.chat.run(call, new AbortController().signal)) {
       onFrame();
       if (frame.kind === 'final') return;
     }
-    throw new RouterError('upstreamFailed', 'the answer had no end');
+    throw new RouterError('upstreamFailed', 'the stream ended without a final frame');
   }
 
   get #key(): string {
     return `key-${this.#account}`;
   }
 
-  #directory(): DirectoryResponse {
+  #lookUpDirectory(): DirectoryResponse {
     const nowMs = this.#fleet.clock.monotonicMs();
-    if (this.#answer !== undefined && nowMs - this.#askedAtMs < this.#answer.keepMs) {
-      return this.#answer;
+    if (
+      this.#directoryResponse !== undefined &&
+      nowMs - this.#fetchedAtMs < this.#directoryResponse.keepMs
+    ) {
+      return this.#directoryResponse;
     }
-    const known = this.#answer?.instances[0]?.id;
-    const asked = this.#fleet.instances.find(({ id }) => id === known) ?? this.#fleet.instances[0];
-    if (asked === undefined) throw new RouterError('peerUnavailable', 'there is no instance');
-    this.#answer = asked.instance.findInstances(this.#key, this.#near);
-    this.#askedAtMs = nowMs;
-    return this.#answer;
+    const currentId = this.#directoryResponse?.instances[0]?.id;
+    const directoryInstance =
+      this.#fleet.instances.find(({ id }) => id === currentId) ?? this.#fleet.instances[0];
+    if (directoryInstance === undefined)
+      throw new RouterError('peerUnavailable', 'the fleet has no instance');
+    this.#directoryResponse = directoryInstance.instance.findInstances(
+      this.#key,
+      this.#callerDomain,
+    );
+    this.#fetchedAtMs = nowMs;
+    return this.#directoryResponse;
   }
 
-  #find(id: string): LocalInstance {
+  #findInstance(id: string): LocalInstance {
     const local = this.#fleet.instances.find((candidate) => candidate.id === id);
     if (local !== undefined) return local;
-    throw new RouterError('peerUnavailable', `nothing listens at ${id}`);
+    throw new RouterError('peerUnavailable', `no instance listens at ${id}`);
   }
 }
 
@@ -159,17 +171,21 @@
   const callers = accounts.flatMap((account) =>
     domains.map((domain) => new Caller(fleet, account, domain)),
   );
-  const underWay: Promise<void>[] = [];
+  const pendingCalls: Promise<void>[] = [];
   while (!signal.aborted) {
     await fleet.clock.sleep(-Math.log(1 - random()) * meanGapMs, signal);
     const caller = callers[Math.floor(random() * callers.length)];
-    if (caller !== undefined && !signal.aborted) underWay.push(makeCall(caller, tally));
+    if (caller !== undefined && !signal.aborted) pendingCalls.push(makeCall(caller, tally));
   }
-  await Promise.all(underWay);
+  await Promise.all(pendingCalls);
 }
 
-/** Stops one instance as the platform does, and starts one in its place. */
-async function replace(fleet: LocalFleet, local: LocalInstance): Promise<number> {
+/**
+ * Stops one instance as the platform does, and starts another one with the same id.
+ *
+ * @returns the number of requests that were cut off
+ */
+async function replaceInstance(fleet: LocalFleet, local: LocalInstance): Promise<number> {
   const { clock, platform, instances } = fleet;
   const listed = platform.instances().find(({ id }) => id === local.id);
   if (listed !== undefined) platform.setInstance({ ...listed, state: 'leaving' });
@@ -185,12 +201,14 @@
 }
 
 /**
- * Replaces every instance once, under load, on virtual time.
+ * Replaces every instance once under load, in virtual time.
  *
- * @param options - seed, sizes, load and lag
- * @returns what callers saw
+ * @param options - seed, sizes, load and list lag
+ * @returns outcomes of the requests and of the planned stops
  */
-export async function replaceAll(options: ReplaceAllOptions): Promise<ReplaceAllResult> {
+export async function replaceAllInstances(
+  options: ReplaceAllInstancesOptions,
+): Promise<ReplaceAllInstancesResult> {
   const { seed, instances = 5, requestEveryMs = 60, listLagMs = 3_000 } = options;
   await using fleet = await createLocalFleet({ document, seed, instances, engines: 4 });
   fleet.platform.listLagMs = listLagMs;
@@ -203,7 +221,7 @@
   let cutOff = 0;
   for (const id of ids) {
     const local = fleet.instances.find((candidate) => candidate.id === id);
-    if (local !== undefined) cutOff += await replace(fleet, local);
+    if (local !== undefined) cutOff += await replaceInstance(fleet, local);
   }
   stop.abort();
   await fleet.clock.runUntil(load);
--- a/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
+++ b/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import { digestText, RouterError } from '@acaciacrank/base';
 import { createLocalFleet, type LocalInstance } from '../../../../createLocalFleet/index.js';
-import { replaceAll } from './index.js';
+import { replaceAllInstances } from './index.js';
 
-// All five instances are replaced in one afternoon while trainees are on shift. Callers hold
-// directory answers that are seconds old, and the platform's list lags by three seconds more. No
-// stream may be cut off, and under 0.1% of requests may be refused.
-test('a rolling replacement under load cuts off no stream and refuses next to nothing', async (t) => {
-  const result = await replaceAll({ seed: 1 });
+// All five instances are replaced under load. Callers use cached directory responses that are
+// seconds old, and the platform's instance list lags by another three seconds. No stream may be cut
+// off, and less than 0.1% of the requests may be refused.
+test('a rolling replacement under load cuts off no stream and refuses under 0.1% of requests', async (t) => {
+  const result = await replaceAllInstances({ seed: 1 });
   t.is(result.replaced, 5);
   t.is(result.brokenOff + result.cutOff, 0, result.errors.join());
   t.true(result.refused / result.requests < 0.001, `${result.refused}: ${result.errors.join()}`);
@@ -15,8 +15,8 @@
   t.is(result.answered + result.refused, result.requests);
 });
 
-// The store is down while an instance is replaced. The new one has no configuration and must not be
-// named to callers, whom it would refuse; when the store is back it takes its place.
+// The store is down while an instance starts. The new instance has no configuration and would refuse
+// requests, so the directory must leave it out until the store is available again.
 test('an instance without a configuration is not in the directory', async (t) => {
   const document = `environment: starting
 classes: [{ name: shift, firstTokenDeadlineMs: 5000, totalDeadlineMs: 60000 }]
@@ -41,13 +41,13 @@
   const named = () => first.instance.findInstances('key', undefined).instances.map(({ id }) => id);
   await fleet.clock.advance(5_000);
   isDown = true;
-  const late = await fleet.addInstance('i3', 'fd3');
+  const addedInstance = await fleet.addInstance('i3', 'fd3');
   await fleet.clock.advance(5_000);
-  t.false(late.instance.isAccepting);
+  t.false(addedInstance.instance.isAccepting);
   t.is(first.instance.directory.usableInstanceCount, 2);
-  t.false(named().includes(late.id), named().join());
+  t.false(named().includes(addedInstance.id), named().join());
   isDown = false;
   await fleet.clock.advance(10_000);
-  t.true(late.instance.isAccepting);
+  t.true(addedInstance.instance.isAccepting);
   t.is(first.instance.directory.usableInstanceCount, 3);
 });
--- a/packages/standins/src/experiments/membership/index.ts
+++ b/packages/standins/src/experiments/membership/index.ts
@@ -1,27 +1,30 @@
 /**
- * What membership makes of each kind of failure: how soon everybody knows, and who is wrongly given
- * up. Virtual time; every instance runs its own membership over the in-process links.
+ * Measures failure detection for each kind of failure: how long it takes until all instances agree,
+ * and which live instances are wrongly declared dead. Runs in virtual time; each instance has its own
+ * membership and in-process links.
  */
-import { configurationStories } from './_lib/configurationStories/index.js';
-import { replaceAll } from './_lib/rollingReplacement/index.js';
+import { configurationScenarios } from './_lib/configurationScenarios/index.js';
+import { replaceAllInstances } from './_lib/rollingReplacement/index.js';
 import { MemberFleet } from '../../_lib/MemberFleet/index.js';
 import type { RunOptions } from '../../_lib/runNamed/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
-/** What one story came to. */
-export interface StoryResult {
+/** Result of one failure scenario. The columns call the scenario a story. */
+export interface FailureScenarioResult {
   readonly story: string;
   readonly instances: number;
-  /** Until everybody who should know knows; null when that took longer than the limit. */
+  /** Time until all instances agreed on the change; null if that took longer than the limit. */
   readonly settledMs: number | null;
-  /** Instances that run, were reachable, and were given up by somebody. */
+  /** Number of times that an instance was declared dead although it was running and reachable. */
   readonly falseDeaths: number;
   readonly suspicions: number;
   readonly refutations: number;
 }
 
-/** One failure, played on a settled fleet. */
-export type Story = (fleet: MemberFleet) => Promise<Omit<StoryResult, 'instances' | 'story'>>;
+/** Injects one failure into a fleet whose membership has converged. */
+export type FailureScenario = (
+  fleet: MemberFleet,
+) => Promise<Omit<FailureScenarioResult, 'instances' | 'story'>>;
 
 const limitMs = 60_000;
 
@@ -34,8 +37,8 @@
   };
 }
 
-/** The stories, by name. */
-export const stories: Readonly<Record<string, Story>> = {
+/** The failure scenarios by name. */
+export const failureScenarios: Readonly<Record<string, FailureScenario>> = {
   crash: async (fleet) => {
     fleet.crash('i2');
     const isKnown = () => fleet.viewsOf('i2').every((member) => member?.state === 'dead');
@@ -92,48 +95,48 @@
     await fleet.clock.advance(120_000);
     fleet.network.heal();
     const settledMs = await fleet.timeUntil(() => fleet.isWhole, limitMs);
-    const ownSide = [...fleet.nodes.values()].flatMap(({ id, givenUp }) =>
+    const sameSideDeaths = [...fleet.nodes.values()].flatMap(({ id, givenUp }) =>
       givenUp.filter((other) => sides.some((side) => side.includes(id) && side.includes(other))),
     );
-    return outcome(fleet, settledMs, ownSide.length);
+    return outcome(fleet, settledMs, sameSideDeaths.length);
   },
 };
 
 /**
- * Plays one story on a fleet that has settled.
+ * Runs one failure scenario on a new fleet after its membership has converged.
  *
- * @param name - a key of {@link stories}
- * @param instances - how many
- * @param seed - makes every loss and wait
+ * @param name - a key of {@link failureScenarios}
+ * @param instances - size of the fleet
+ * @param seed - seed of all message losses and waits
  */
-export async function playStory(
+export async function runFailureScenario(
   name: string,
   instances: number,
   seed: number,
-): Promise<StoryResult> {
+): Promise<FailureScenarioResult> {
   const fleet = new MemberFleet(instances, seed);
-  const story = stories[name];
-  if (story === undefined) throw new Error(`there is no story ${name}`);
-  const isSettled = (await fleet.timeUntil(() => fleet.isWhole, limitMs)) !== undefined;
-  if (!isSettled) throw new Error('the fleet did not come together');
-  const result = await story(fleet);
+  const scenario = failureScenarios[name];
+  if (scenario === undefined) throw new Error(`unknown failure scenario: ${name}`);
+  const hasFormed = (await fleet.timeUntil(() => fleet.isWhole, limitMs)) !== undefined;
+  if (!hasFormed) throw new Error('membership did not converge within 60 s');
+  const result = await scenario(fleet);
   for (const id of [...fleet.nodes.keys()]) fleet.crash(id);
   return { story: name, instances, ...result };
 }
 
-async function playConfigurationStory(
+async function runConfigurationScenario(
   name: string,
   instances: number,
   seed: number,
 ): Promise<ResultRow> {
   const fleet = new MemberFleet(instances, seed);
   await fleet.timeUntil(() => fleet.isWhole, limitMs);
-  const settledMs = await configurationStories[name]?.(fleet);
+  const settledMs = await configurationScenarios[name]?.(fleet);
   for (const id of [...fleet.nodes.keys()]) fleet.crash(id);
   return { ...emptyRow, story: `configuration:${name}`, instances, settledMs: settledMs ?? null };
 }
 
-/** Fields that a story does not measure stay null. */
+/** Columns that a scenario does not measure are null. */
 const emptyRow = {
   story: '',
   instances: 0,
@@ -147,18 +150,18 @@
   cutOff: null,
 };
 
-/** Plays every story on 5 and 20 instances, and replaces all instances of 5 under load. */
+/** Runs each scenario with 5 and 20 instances, and a rolling replacement of 5 under load. */
 export async function run({ seed }: RunOptions): Promise<readonly ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const instances of [5, 20]) {
-    for (const name of Object.keys(stories)) {
-      rows.push({ ...emptyRow, ...(await playStory(name, instances, seed)) });
+    for (const name of Object.keys(failureScenarios)) {
+      rows.push({ ...emptyRow, ...(await runFailureScenario(name, instances, seed)) });
     }
-    for (const name of Object.keys(configurationStories)) {
-      rows.push(await playConfigurationStory(name, instances, seed));
+    for (const name of Object.keys(configurationScenarios)) {
+      rows.push(await runConfigurationScenario(name, instances, seed));
     }
   }
-  const { requests, refused, brokenOff, cutOff } = await replaceAll({ seed });
+  const { requests, refused, brokenOff, cutOff } = await replaceAllInstances({ seed });
   const story = 'rollingReplacement';
   rows.push({ ...emptyRow, story, instances: 5, requests, refused, brokenOff, cutOff });
   return rows;
--- a/packages/standins/src/experiments/routing/_lib/SimulatedInstance/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/SimulatedInstance/index.ts
@@ -1,5 +1,6 @@
 /**
- * An instance's request path without ledger and ports: the real registry, queue and choice.
+ * The request path of an instance without ledger and listening ports. The upstream registry, the
+ * admission queue and the upstream selector are the real ones.
  */
 import {
   RouterError,
@@ -28,38 +29,38 @@
   random: Random;
   list: InstanceList;
   clients: UpstreamClients;
-  choice: UpstreamSelector;
-  /** How the policy sets the registry up. */
-  registry: Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
+  selector: UpstreamSelector;
+  /** Registry options of the compared policy. */
+  registryOptions: Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
 }
 
-/** The service that all engines of the experiment serve. */
+/** The service that all engines of the experiment belong to. */
 export const engineService = 'assistant' as ServiceName;
 
-/** How many upstreams are tried for one request. */
+/** Maximum number of upstreams that are tried for one request. */
 const maxUpstreamsTried = 3;
 
-/** Serves the experiment's requests as an instance does. */
+/** Serves the requests of the experiment as a router instance does. */
 export class SimulatedInstance {
   readonly registry: UpstreamRegistry;
   readonly #options: SimulatedInstanceOptions;
   readonly #queue: AdmissionQueue;
-  readonly #dead = new AbortController();
+  readonly #crash = new AbortController();
   #attempts = 0;
 
   constructor(options: SimulatedInstanceOptions) {
     this.#options = options;
     const { list, clients, clock } = options;
-    // Each stream under way listens to it.
-    setMaxListeners(0, this.#dead.signal);
+    // Each open stream adds a listener, which would exceed the default limit of 10 listeners.
+    setMaxListeners(0, this.#crash.signal);
     this.registry = new UpstreamRegistry({
       list,
       clients,
       clock,
       instanceId: options.instanceId,
-      ...options.registry,
+      ...options.registryOptions,
       onCacheEvent: (upstream, event) => {
-        options.choice.handleCacheEvent(upstream, event);
+        options.selector.handleCacheEvent(upstream, event);
       },
     });
     this.#queue = new AdmissionQueue({
@@ -70,9 +71,9 @@
     });
   }
 
-  /** Dies at once: its connections break, what it started at engines goes on there. */
-  async die(): Promise<void> {
-    this.#dead.abort();
+  /** Crashes the instance: its connections break, while generations on the engines continue. */
+  async crash(): Promise<void> {
+    this.#crash.abort();
     await this.registry[Symbol.asyncDispose]();
   }
 
@@ -80,22 +81,22 @@
    * Serves one request.
    *
    * @param request - what to serve
-   * @param onFrame - called at each frame that reaches the caller
-   * @throws RouterError a refusal, or `upstreamFailed` when the connection broke
+   * @param onFrame - called for each frame that reaches the caller
+   * @throws RouterError when the request is refused, or `upstreamFailed` when the connection broke
    */
   async serve(request: WorkloadRequest, onFrame: () => void): Promise<void> {
-    if (this.#dead.signal.aborted) {
-      throw new RouterError('upstreamFailed', 'the instance is dead', { ran: 'notRun' });
+    if (this.#crash.signal.aborted) {
+      throw new RouterError('upstreamFailed', 'the instance has crashed', { ran: 'notRun' });
     }
     const { workloadClass, accountId } = request;
-    using place = await this.#queue.admit({
+    using slot = await this.#queue.admit({
       service: engineService,
       priority: workloadClass.priority,
       accountId,
       waitMs: workloadClass.firstTokenDeadlineMs,
-      signal: this.#dead.signal,
+      signal: this.#crash.signal,
     });
-    void place;
+    void slot;
     await this.#stream(request, onFrame);
   }
 
@@ -106,15 +107,15 @@
       const upstream = this.#choose(request, tried);
       if (upstream === undefined) break;
       tried.add(upstream.id);
-      let passedOn = 0;
+      let deliveredFrames = 0;
       try {
         await this.#streamFrom(upstream, request, () => {
-          passedOn += 1;
+          deliveredFrames += 1;
           onFrame();
         });
         return;
       } catch (error) {
-        if (passedOn > 0 || !(error instanceof RouterError)) throw error;
+        if (deliveredFrames > 0 || !(error instanceof RouterError)) throw error;
         lastError = error;
       }
     }
@@ -124,7 +125,7 @@
   #choose(request: WorkloadRequest, tried: ReadonlySet<UpstreamId>): Upstream | undefined {
     const candidates = this.registry.candidates(engineService, tried);
     const { prefixHash } = request;
-    return this.#options.choice.choose(candidates, { random: this.#options.random, prefixHash });
+    return this.#options.selector.choose(candidates, { random: this.#options.random, prefixHash });
   }
 
   async #streamFrom(
@@ -133,8 +134,8 @@
     onFrame: () => void,
   ): Promise<void> {
     const { engine } = upstream;
-    if (engine === undefined) throw new RouterError('internal', `${upstream.id} is no engine`);
-    using use = this.registry.begin(upstream, request.workloadClass.priority);
+    if (engine === undefined) throw new RouterError('internal', `${upstream.id} is not an engine`);
+    using inFlightRequest = this.registry.begin(upstream, request.workloadClass.priority);
     this.#attempts += 1;
     const requestId = attemptId(request, `${this.#options.instanceId}.${this.#attempts}`);
     const generation = {
@@ -144,10 +145,10 @@
       maxTokens: request.workloadClass.maxFrames,
       priority: request.workloadClass.priority,
     };
-    for await (const frame of engine.generate(generation, this.#dead.signal)) {
-      if (this.#dead.signal.aborted) break;
+    for await (const frame of engine.generate(generation, this.#crash.signal)) {
+      if (this.#crash.signal.aborted) break;
       if (frame.kind === 'end') return;
-      use.progress();
+      inFlightRequest.progress();
       onFrame();
     }
     throw new RouterError('upstreamFailed', 'the connection broke');
--- a/packages/standins/src/experiments/routing/_lib/outcomes/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/outcomes/index.ts
@@ -1,5 +1,5 @@
 /**
- * What became of the requests of one cell, and the row for each class.
+ * Outcomes of the requests of one run, and the result row of each class.
  */
 import { millisecondsInSecond } from '@acaciacrank/base';
 import type { ResultRow } from '../../../../printTable/index.js';
@@ -12,20 +12,20 @@
   type WorkloadRequest,
 } from '../workload/index.js';
 
-/** What became of one request, as its caller saw it. */
+/** Outcome of one request as seen by its caller. */
 export interface RequestOutcome {
   readonly request: WorkloadRequest;
   readonly startedMs: number;
-  /** When the caller saw its first token at all; undefined when it saw none. */
+  /** When the caller received the first token over all attempts; undefined if it received none. */
   firstTokenMs: number | undefined;
-  /** Gaps between frames of the answer that was completed. */
+  /** Times between frames, of the last attempt only. */
   gapsMs: number[];
   frames: number;
   endedMs: number;
   state: 'pending' | 'answered' | 'refused' | 'lost';
 }
 
-/** What describes a cell in each of its rows. */
+/** Columns that identify a run in each of its rows. */
 export interface CellLabels {
   readonly policy: string;
   readonly isDefault: boolean;
@@ -34,56 +34,59 @@
   readonly seed: number;
 }
 
-/** The span of arrivals that is measured. */
+/** The measurement interval, without the warm-up. */
 export interface MeasuredSpan {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /**
- * One row for each class.
+ * Creates one result row for each class.
  *
- * @param labels - what describes the cell
- * @param outcomes - all requests of the cell
- * @param engines - what was truly generated
- * @param span - only requests that arrived in it count; goodput is what was delivered in it
+ * @param labels - columns that identify the run
+ * @param outcomes - outcomes of all requests of the run
+ * @param engines - engines, whose records tell how many frames were generated
+ * @param span - only requests that arrived in this interval are counted; goodput is computed from
+ *   the answers that were completed in it
  */
-export function rowsOf(
+export function createRows(
   labels: CellLabels,
   outcomes: readonly RequestOutcome[],
   engines: readonly StandinEngine[],
   span: MeasuredSpan,
 ): ResultRow[] {
-  const engineStats = statsOfEngines(engines);
+  const engineStats = collectEngineStats(engines);
   return workloadClasses.map((workloadClass) =>
-    rowOf(labels, workloadClass, outcomes, engineStats, span),
+    createRow(labels, workloadClass, outcomes, engineStats, span),
   );
 }
 
-interface KeyStats {
+interface RequestStats {
   generatedFrames: number;
   runs: number;
   prefixHits: number;
 }
 
-function rowOf(
+function createRow(
   labels: CellLabels,
   workloadClass: WorkloadClass,
-  all: readonly RequestOutcome[],
-  engineStats: ReadonlyMap<string, KeyStats>,
+  outcomes: readonly RequestOutcome[],
+  engineStats: ReadonlyMap<string, RequestStats>,
   { fromMs, untilMs }: MeasuredSpan,
 ): ResultRow {
-  const ofClass = all.filter(({ request }) => request.workloadClass === workloadClass);
-  const measured = ofClass.filter(({ startedMs }) => startedMs >= fromMs && startedMs < untilMs);
+  const classOutcomes = outcomes.filter(({ request }) => request.workloadClass === workloadClass);
+  const measured = classOutcomes.filter(
+    ({ startedMs }) => startedMs >= fromMs && startedMs < untilMs,
+  );
   const answered = measured.filter(({ state }) => state === 'answered');
-  const firstTokensMs = answered.map(({ startedMs, firstTokenMs }) =>
+  const firstTokenTimesMs = answered.map(({ startedMs, firstTokenMs }) =>
     Math.round((firstTokenMs ?? Infinity) - startedMs),
   );
   const gapsMs = answered.flatMap((outcome) => outcome.gapsMs.map((gap) => gap / tokensPerFrame));
-  const deliveredInSpan = ofClass
+  const deliveredInSpan = classOutcomes
     .filter(({ state, endedMs }) => state === 'answered' && endedMs >= fromMs && endedMs < untilMs)
     .reduce((sum, { frames }) => sum + frames, 0);
-  const stats = measured.map(({ request }) => engineStats.get(request.key) ?? noStats);
+  const stats = measured.map(({ request }) => engineStats.get(request.key) ?? emptyStats);
   const generated = stats.reduce((sum, { generatedFrames }) => sum + generatedFrames, 0);
   const delivered = answered.reduce((sum, { frames }) => sum + frames, 0);
   const runs = stats.reduce((sum, entry) => sum + entry.runs, 0);
@@ -99,9 +102,9 @@
     answered: answered.length,
     refused: measured.filter(({ state }) => state === 'refused').length,
     lost: measured.filter(({ state }) => state === 'lost' || state === 'pending').length,
-    firstTokenP50Ms: percentile(firstTokensMs, 50),
-    firstTokenP95Ms: percentile(firstTokensMs, 95),
-    firstTokenP99Ms: percentile(firstTokensMs, 99),
+    firstTokenP50Ms: percentile(firstTokenTimesMs, 50),
+    firstTokenP95Ms: percentile(firstTokenTimesMs, 95),
+    firstTokenP99Ms: percentile(firstTokenTimesMs, 99),
     firstTokenDeadlineMs: workloadClass.firstTokenDeadlineMs,
     tokenGapP95Ms: percentile(gapsMs, 95),
     goodputTokensPerSecond: Math.round(
@@ -112,14 +115,14 @@
   };
 }
 
-const noStats: KeyStats = { generatedFrames: 0, runs: 0, prefixHits: 0 };
+const emptyStats: RequestStats = { generatedFrames: 0, runs: 0, prefixHits: 0 };
 
-function statsOfEngines(engines: readonly StandinEngine[]): Map<string, KeyStats> {
-  const byKey = new Map<string, KeyStats>();
+function collectEngineStats(engines: readonly StandinEngine[]): Map<string, RequestStats> {
+  const byKey = new Map<string, RequestStats>();
   for (const engine of engines) {
     for (const record of engine.records.values()) {
       const key = keyOfAttempt(record.requestId);
-      const stats = byKey.get(key) ?? { ...noStats };
+      const stats = byKey.get(key) ?? { ...emptyStats };
       stats.generatedFrames += record.outputTokens;
       stats.runs += record.state === 'waiting' ? 0 : 1;
       stats.prefixHits += record.prefixHit ? 1 : 0;
@@ -129,7 +132,7 @@
   return byKey;
 }
 
-/** The nearest-rank percentile; null without values. */
+/** Nearest-rank percentile; null if there are no values. */
 function percentile(values: readonly number[], percent: number): number | null {
   const sorted = [...values].sort((a, b) => a - b);
   const rank = Math.max(0, Math.ceil((percent / 100) * sorted.length) - 1);
--- a/packages/standins/src/experiments/routing/_lib/policies/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/policies/index.ts
@@ -16,37 +16,43 @@
 export interface ComparedPolicy {
   readonly name: string;
   readonly isDefault: boolean;
-  /** Makes the choice object of one instance. */
-  readonly createChoice: () => UpstreamSelector;
-  /** Limits and ejection that go with it. */
-  readonly registry: (random: Random) => Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
+  /** Creates the upstream selector of one instance. */
+  readonly createSelector: () => UpstreamSelector;
+  /** Concurrency limits and outlier ejection that are used with the selector. */
+  readonly registryOptions: (
+    random: Random,
+  ) => Pick<UpstreamRegistryOptions, 'createLimit' | 'outliers'>;
 }
 
-type CreateChoice = ComparedPolicy['createChoice'];
+type CreateSelector = ComparedPolicy['createSelector'];
 
-/** A choice alone: each instance has an even share of all places, and nothing is ejected. */
-function alone(name: string, createChoice: CreateChoice): ComparedPolicy {
-  const registry = () => ({
+/** A selector with an even share of all slots for each instance, and without outlier ejection. */
+function fixedLimitPolicy(name: string, createSelector: CreateSelector): ComparedPolicy {
+  const registryOptions = () => ({
     createLimit: () => new EvenShareLimit(),
     outliers: { maxEjectedFraction: 0 },
   });
-  return { name, isDefault: false, createChoice, registry };
+  return { name, isDefault: false, createSelector, registryOptions };
 }
 
-/** A choice with the limits that adapt and the ejection that an instance has by default. */
-function guarded(name: string, createChoice: CreateChoice, isDefault = false): ComparedPolicy {
-  const registry = (random: Random) => ({ outliers: { random } });
-  return { name, isDefault, createChoice, registry };
+/** A selector with the adaptive limits and the outlier ejection that instances use by default. */
+function adaptiveLimitPolicy(
+  name: string,
+  createSelector: CreateSelector,
+  isDefault = false,
+): ComparedPolicy {
+  const registryOptions = (random: Random) => ({ outliers: { random } });
+  return { name, isDefault, createSelector, registryOptions };
 }
 
 /**
- * All compared policies: each choice with the default's limits and ejection, and round robin without
- * them, so that the worth of each part shows.
+ * All compared policies: each selector with the default limits and ejection, and round robin also
+ * without them, to show what each part contributes.
  */
 export const comparedPolicies: readonly ComparedPolicy[] = [
-  alone('roundRobinAlone', () => new RoundRobin()),
-  guarded('roundRobin', () => new RoundRobin()),
-  guarded('leastReportedLoad', () => new LeastReportedLoad()),
-  guarded('leastInFlight', () => new LeastInFlight()),
-  guarded('prefixAffinity', () => new PrefixAffinity(), true),
+  fixedLimitPolicy('roundRobinAlone', () => new RoundRobin()),
+  adaptiveLimitPolicy('roundRobin', () => new RoundRobin()),
+  adaptiveLimitPolicy('leastReportedLoad', () => new LeastReportedLoad()),
+  adaptiveLimitPolicy('leastInFlight', () => new LeastInFlight()),
+  adaptiveLimitPolicy('prefixAffinity', () => new PrefixAffinity(), true),
 ];
--- a/packages/standins/src/experiments/routing/_lib/runCell/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/runCell/index.ts
@@ -1,5 +1,5 @@
 /**
- * One cell of the routing experiment: a policy, a case and a load.
+ * One run of the routing experiment, with one policy, fault case and load factor.
  */
 import {
   createRandom,
@@ -18,7 +18,7 @@
 import { MemoryInstanceList, MemoryPlatform } from '@acaciacrank/store';
 import type { ResultRow } from '../../../../printTable/index.js';
 import { StandinEngine } from '../../../../StandinEngine/index.js';
-import { rowsOf, type RequestOutcome } from '../outcomes/index.js';
+import { createRows, type RequestOutcome } from '../outcomes/index.js';
 import type { ComparedPolicy } from '../policies/index.js';
 import { engineService, SimulatedInstance } from '../SimulatedInstance/index.js';
 import {
@@ -32,60 +32,60 @@
   type WorkloadRequest,
 } from '../workload/index.js';
 
-/** What goes wrong in a cell. */
+/** Fault cases of the experiment. */
 export const cellCases = ['calm', 'instanceLost', 'thirdSlow', 'reportsLag'] as const;
 /** One of {@link cellCases}. */
 export type CellCase = (typeof cellCases)[number];
 
-/** What one cell is. */
+/** Parameters of one run. */
 export interface Cell {
   readonly policy: ComparedPolicy;
   readonly case: CellCase;
   readonly loadFactor: number;
   readonly seed: number;
-  /** How long requests arrive, in milliseconds. */
+  /** Arrival period of the requests, in milliseconds. */
   readonly durationMs: number;
 }
 
-const reachable = { isDown: false, delayMs: 0, answersToLose: 0 };
-/** Requests that arrive while caches and limits are still cold are not measured. */
+const healthyLink = { isDown: false, delayMs: 0, answersToLose: 0 };
+/** Requests that arrive during the warm-up of caches and limits are not measured. */
 const warmUpMs = 3 * millisecondsInSecond;
-/** When the instance is lost or the engines become slow. */
+/** When the fault is injected. */
 const faultAtMs = 4 * millisecondsInSecond;
 const slowFactor = 4;
-const everyNthIsSlow = 3;
-const usualReportLagMs = 500;
+const slowEngineStride = 3;
+const normalReportLagMs = 500;
 const longReportLagMs = 2_000;
-/** How often a caller tries when its connection breaks; a refusal is final. */
-const maxCallerTries = 3;
-/** The most that a caller waits before it tries again after a broken connection. */
-const maxCallerBackOffMs = 250;
-/** What has not ended so long after the last arrival counts as lost. */
+/** Maximum number of attempts of a caller whose connection breaks; a refusal is not retried. */
+const maxCallerAttempts = 3;
+/** Maximum wait of a caller before the retry after a broken connection. */
+const maxCallerBackoffMs = 250;
+/** A request that has not ended this long after the end of arrivals counts as lost. */
 const drainLimitMs = 60 * millisecondsInSecond;
 
 /**
- * Runs one cell on virtual time.
+ * Runs the simulation in virtual time.
  *
- * @param cell - what to run
+ * @param cell - policy, fault case, load and seed
  * @returns one row for each class
  *
  * @example
  * const rows = await runCell({ policy, case: 'calm', loadFactor: 1, seed: 1, durationMs: 12_000 });
  */
 export async function runCell(cell: Cell): Promise<ResultRow[]> {
-  const world = await createWorld(cell);
-  const { clock } = world;
+  const simulation = await createSimulation(cell);
+  const { clock } = simulation;
   const outcomes: RequestOutcome[] = [];
   clock.schedule(faultAtMs, () => {
-    bringAbout(cell.case, world);
+    injectFault(cell.case, simulation);
   });
-  const arrivals = workloadClasses.map((workloadClass) =>
-    arrive(world, cell, workloadClass, outcomes),
+  const senders = workloadClasses.map((workloadClass) =>
+    sendRequests(simulation, cell, workloadClass, outcomes),
   );
-  const finished = Promise.all(arrivals).then((pending) => Promise.all(pending.flat()));
-  const limit = clock.sleep(cell.durationMs + drainLimitMs);
-  await clock.runUntil(Promise.race([finished, limit]));
-  await clock.runUntil(Promise.all(world.instances.map((instance) => instance.die())));
+  const finished = Promise.all(senders).then((pending) => Promise.all(pending.flat()));
+  const timeLimit = clock.sleep(cell.durationMs + drainLimitMs);
+  await clock.runUntil(Promise.race([finished, timeLimit]));
+  await clock.runUntil(Promise.all(simulation.instances.map((instance) => instance.crash())));
   const labels = {
     policy: cell.policy.name,
     isDefault: cell.policy.isDefault,
@@ -94,10 +94,10 @@
     seed: cell.seed,
   };
   const span = { fromMs: warmUpMs, untilMs: cell.durationMs };
-  return rowsOf(labels, outcomes, world.engines, span);
+  return createRows(labels, outcomes, simulation.engines, span);
 }
 
-interface World {
+interface Simulation {
   readonly clock: ManualClock;
   readonly platform: MemoryPlatform;
   readonly engines: readonly StandinEngine[];
@@ -105,21 +105,21 @@
   readonly callerRandom: Random;
 }
 
-async function createWorld(cell: Cell): Promise<World> {
+async function createSimulation(cell: Cell): Promise<Simulation> {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   const clients = new LocalUpstreamClients();
-  const reportLagMs = cell.case === 'reportsLag' ? longReportLagMs : usualReportLagMs;
+  const reportLagMs = cell.case === 'reportsLag' ? longReportLagMs : normalReportLagMs;
   const engines = Array.from({ length: engineCount }, (_, index) => {
     const id = `e${index}` as UpstreamId;
     const engine = new StandinEngine({ id, clock, reportLagMs, ...engineOptions });
     clients.engines.set(id, engine);
-    platform.setInstance(listed(id, 'engine', index));
+    platform.setInstance(createListedInstance(id, 'engine', index));
     return engine;
   });
   const instanceIds = Array.from({ length: instanceCount }, (_, index) => instanceIdOf(index));
   for (const [index, id] of instanceIds.entries()) {
-    platform.setInstance(listed(id, 'entry', index));
+    platform.setInstance(createListedInstance(id, 'entry', index));
   }
   const instances = instanceIds.map(
     (instanceId, index) =>
@@ -128,9 +128,9 @@
         clock,
         clients,
         random: createRandom(cell.seed * 1_000 + index),
-        list: new MemoryInstanceList(platform, reachable),
-        choice: cell.policy.createChoice(),
-        registry: cell.policy.registry(createRandom(cell.seed * 1_000 + 100 + index)),
+        list: new MemoryInstanceList(platform, healthyLink),
+        selector: cell.policy.createSelector(),
+        registryOptions: cell.policy.registryOptions(createRandom(cell.seed * 1_000 + 100 + index)),
       }),
   );
   await clock.runUntil(Promise.all(instances.map(({ registry }) => registry.start())));
@@ -142,7 +142,7 @@
   return `i${index}` as InstanceId;
 }
 
-function listed(id: string, role: 'engine' | 'entry', index: number): ListedInstance {
+function createListedInstance(id: string, role: 'engine' | 'entry', index: number): ListedInstance {
   return {
     id: id as InstanceId,
     role,
@@ -153,42 +153,47 @@
   };
 }
 
-function bringAbout(cellCase: CellCase, { platform, engines, instances }: World): void {
+function injectFault(cellCase: CellCase, { platform, engines, instances }: Simulation): void {
   if (cellCase === 'instanceLost') {
     platform.removeInstance(instanceIdOf(0));
-    void instances[0]?.die();
+    void instances[0]?.crash();
   }
   if (cellCase === 'thirdSlow') {
     for (const [index, engine] of engines.entries()) {
-      if (index % everyNthIsSlow === 0) engine.slowFactor = slowFactor;
+      if (index % slowEngineStride === 0) engine.slowFactor = slowFactor;
     }
   }
 }
 
-async function arrive(
-  world: World,
+async function sendRequests(
+  simulation: Simulation,
   cell: Cell,
   workloadClass: WorkloadClass,
   outcomes: RequestOutcome[],
 ): Promise<Promise<void>[]> {
   const random = createRandom(cell.seed * 1_000 + 600 + workloadClass.priority);
   const source = new RequestSource(workloadClass, random);
-  const perSecond = arrivalsPerSecond(workloadClass, cell.loadFactor);
+  const requestsPerSecond = arrivalsPerSecond(workloadClass, cell.loadFactor);
   const pending: Promise<void>[] = [];
   for (;;) {
-    await world.clock.sleep((-Math.log(1 - random()) / perSecond) * millisecondsInSecond);
-    if (world.clock.monotonicMs() >= cell.durationMs) return pending;
-    pending.push(call(world, source.next(), outcomes));
+    await simulation.clock.sleep(
+      (-Math.log(1 - random()) / requestsPerSecond) * millisecondsInSecond,
+    );
+    if (simulation.clock.monotonicMs() >= cell.durationMs) return pending;
+    pending.push(sendWithRetries(simulation, source.next(), outcomes));
   }
 }
 
-/** One caller: asks the directory, calls, and calls another instance when the connection breaks. */
-async function call(
-  world: World,
+/**
+ * Simulates one caller: looks up an instance in the directory, sends the request, and retries on
+ * another instance when the connection breaks.
+ */
+async function sendWithRetries(
+  simulation: Simulation,
   request: WorkloadRequest,
   outcomes: RequestOutcome[],
 ): Promise<void> {
-  const { clock } = world;
+  const { clock } = simulation;
   const outcome: RequestOutcome = {
     request,
     startedMs: clock.monotonicMs(),
@@ -199,10 +204,10 @@
     state: 'pending',
   };
   outcomes.push(outcome);
-  for (let tries = 0; tries < maxCallerTries; tries += 1) {
-    const instance = askDirectory(world, request, tries);
+  for (let attempt = 0; attempt < maxCallerAttempts; attempt += 1) {
+    const instance = lookUpInstance(simulation, request, attempt);
     try {
-      await callOnce(world, instance, outcome);
+      await sendOnce(simulation, instance, outcome);
       outcome.state = 'answered';
       outcome.endedMs = clock.monotonicMs();
       return;
@@ -212,7 +217,7 @@
         outcome.state = 'refused';
         return;
       }
-      await clock.sleep(world.callerRandom() * maxCallerBackOffMs);
+      await clock.sleep(simulation.callerRandom() * maxCallerBackoffMs);
     }
   }
   outcome.state = 'lost';
@@ -220,17 +225,26 @@
 
 const brokenConnectionKinds: ReadonlySet<string> = new Set(['upstreamFailed', 'cancelled']);
 
-/** Callers spread over the two instances that the directory names; its answer is cached a while. */
-function askDirectory(world: World, request: WorkloadRequest, tries: number): SimulatedInstance {
-  const named = chooseInstances(request.accountId, world.platform.instances(), { count: 2 });
-  const index = (hashText(request.key) + tries) % named.length;
-  const chosen = world.instances[Number(named[index]?.id.slice(1))];
-  if (chosen === undefined) throw new Error('the directory names no instance');
+/**
+ * Distributes callers over the two instances that the directory returns for their account; callers
+ * cache its response for a while.
+ */
+function lookUpInstance(
+  simulation: Simulation,
+  request: WorkloadRequest,
+  attempt: number,
+): SimulatedInstance {
+  const candidates = chooseInstances(request.accountId, simulation.platform.instances(), {
+    count: 2,
+  });
+  const index = (hashText(request.key) + attempt) % candidates.length;
+  const chosen = simulation.instances[Number(candidates[index]?.id.slice(1))];
+  if (chosen === undefined) throw new Error('the directory returned no instance');
   return chosen;
 }
 
-async function callOnce(
-  { clock }: World,
+async function sendOnce(
+  { clock }: Simulation,
   instance: SimulatedInstance,
   outcome: RequestOutcome,
 ): Promise<void> {
--- a/packages/standins/src/experiments/routing/_lib/workload/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/workload/index.ts
@@ -1,5 +1,5 @@
 /**
- * The traffic of the routing experiment and what the engines can take of it.
+ * The workload of the routing experiment and the capacity of its engines.
  */
 import {
   hashText,
@@ -11,16 +11,16 @@
 } from '@acaciacrank/base';
 import type { ChatMessage } from '@acaciacrank/upstreams';
 
-/** How many tokens one frame stands for: the stand-ins step coarsely to save processor time. */
+/** Number of tokens in one frame; the fake engines emit several at a time to save CPU time. */
 export const tokensPerFrame = 4;
 
-/** How many engines there are; both deployments have about a dozen. */
+/** Number of engines; both deployments have about a dozen. */
 export const engineCount = 12;
 
-/** How many instances there are. */
+/** Number of router instances. */
 export const instanceCount = 5;
 
-/** The engine stand-in's parameters, from which capacity is worked out. */
+/** Parameters of the fake engines, from which their capacity is computed. */
 export const engineOptions = {
   maxRunningRequests: 16,
   tokenGapMs: 20 * tokensPerFrame,
@@ -29,19 +29,22 @@
   cachedPrefixes: 10,
 };
 
-/** One priority class of the workload, the one that matters most first. */
+/** One priority class of the workload. */
 export interface WorkloadClass {
   readonly className: ClassName;
   readonly priority: number;
   readonly firstTokenDeadlineMs: number;
-  /** Its part of the engines' capacity at a load factor of 1. */
+  /** Fraction of the engines' capacity that the class uses at a load factor of 1. */
   readonly capacityShare: number;
   readonly prefixTokens: number;
   readonly promptTokens: number;
   readonly maxFrames: number;
 }
 
-/** Reviews take 35% of capacity, so that they alone fit at all load factors up to 2.8. */
+/**
+ * The classes, the most important one first. Reviews use 35% of the capacity, so that they fit on
+ * their own at all load factors up to 2.8.
+ */
 export const workloadClasses: readonly WorkloadClass[] = [
   {
     className: 'review' as ClassName,
@@ -72,10 +75,10 @@
   },
 ];
 
-/** Parts of the traffic by client account: two large ones and eight small. */
+/** Share of the requests of each client account: two large accounts and eight small ones. */
 const accountShares = [0.25, 0.2, 0.1, 0.1, 0.1, 0.05, 0.05, 0.05, 0.05, 0.05];
 
-/** How many assistants, each with a prompt prefix of its own, an account has for each class. */
+/** Number of assistants, each with its own prompt prefix, of an account in each class. */
 const assistantsPerAccount = 2;
 
 const bytesPerToken = 4;
@@ -90,37 +93,37 @@
 }
 
 /**
- * How long a request of a class holds its place in a full batch, on average: reading the prompt
- * without a cached prefix, then its frames at the full batch's pace.
+ * Mean time for which a request of a class occupies a slot of a full batch: prefill without a cached
+ * prefix, then decoding at the speed of a full batch.
  *
  * @param workloadClass - the class
  * @returns milliseconds
  */
-export function meanPlaceMs(workloadClass: WorkloadClass): number {
+export function meanSlotMs(workloadClass: WorkloadClass): number {
   const { promptTokens, maxFrames } = workloadClass;
   const { prefillTokensPerSecond, tokenGapMs, fullBatchSlowdown } = engineOptions;
   const prefillMs = (promptTokens / prefillTokensPerSecond) * millisecondsInSecond;
-  // The engine stand-in draws the answer's length evenly from 1 to the most.
+  // The fake engine draws the output length uniformly between 1 and the maximum.
   const meanFrames = (maxFrames + 1) / 2;
   return prefillMs + meanFrames * tokenGapMs * fullBatchSlowdown;
 }
 
 /**
- * How many requests of a class arrive in a second at a load factor.
+ * Arrival rate of a class at a load factor, in requests per second.
  *
- * Capacity is all places of all engines in full batches: at a load factor of 1, arrivals times the
- * mean time in a place, summed over the classes, equal the number of places.
+ * The capacity is the number of slots of all engines with full batches: at a load factor of 1, the
+ * arrival rate times the mean slot time, summed over the classes, equals the number of slots.
  *
  * @param workloadClass - the class
- * @param loadFactor - the offered load as a fraction of capacity
+ * @param loadFactor - offered load as a fraction of the capacity
  */
 export function arrivalsPerSecond(workloadClass: WorkloadClass, loadFactor: number): number {
-  const places = engineCount * engineOptions.maxRunningRequests;
-  const classPlaces = places * workloadClass.capacityShare * loadFactor;
-  return (classPlaces / meanPlaceMs(workloadClass)) * millisecondsInSecond;
+  const slots = engineCount * engineOptions.maxRunningRequests;
+  const classSlots = slots * workloadClass.capacityShare * loadFactor;
+  return (classSlots / meanSlotMs(workloadClass)) * millisecondsInSecond;
 }
 
-/** Makes the requests of one class, the same ones for the same random source. */
+/** Generates the requests of one class; they depend only on the random source. */
 export class RequestSource {
   readonly #workloadClass: WorkloadClass;
   readonly #random: Random;
@@ -131,7 +134,7 @@
     this.#random = random;
   }
 
-  /** The next request. */
+  /** Generates the next request. */
   next(): WorkloadRequest {
     this.#count += 1;
     const { className, prefixTokens, promptTokens } = this.#workloadClass;
@@ -154,7 +157,7 @@
   }
 }
 
-/** The id of one attempt; the class and key can be read back from it. */
+/** The id of one attempt; {@link keyOfAttempt} extracts the request key from it. */
 export function attemptId(request: WorkloadRequest, attempt: string): RequestId {
   return `${request.key}/${attempt}` as RequestId;
 }
--- a/packages/standins/src/experiments/silence/index.ts
+++ b/packages/standins/src/experiments/silence/index.ts
@@ -1,5 +1,6 @@
 /**
- * Bounds on silence: what a fixed bound and the learnt one make of dead, silent and stalling streams.
+ * Compares fixed idle timeouts with the adaptive one for streams whose engine dies, falls silent or
+ * stalls.
  */
 import { createRandom } from '@acaciacrank/base';
 import { AdaptiveTimeout, type AdaptiveTimeoutOptions } from '@acaciacrank/upstreams';
@@ -12,12 +13,15 @@
 import { quantile, StreamLoad, type CallOutcome } from '../../_lib/StreamLoad/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
-const calls = 150;
+const requestCount = 150;
 const maxTokens = 80;
 const callIntervalMs = 150;
-/** The share of connections that a fault meets. */
+/** Fraction of the connections into which a fault is injected. */
 const faultShare = 0.1;
-/** How often an engine may begin to stall, how likely, how long and how much slower it is then. */
+/**
+ * Stalls of an engine: time between two draws, probability of a stall, maximum duration and slowdown
+ * factor.
+ */
 const stall = { everyMs: 1_000, share: 0.15, longestMs: 3_000, factor: 60 };
 
 const bounds: Readonly<Record<string, AdaptiveTimeoutOptions>> = {
@@ -27,16 +31,16 @@
   learnt: { floorMs: 1_000, ceilingMs: 10_000 },
 };
 
-/** Gaps of engines in ordinary health, of big models, and of big models in overloaded batches. */
+/** Token gaps of healthy engines, of large models, and of large models in overloaded batches. */
 const gapsMs = { fast: 20, slow: 400, overloaded: 1_200 } as const;
 
-interface Case {
+interface SilenceCase {
   readonly name: string;
   readonly gap: keyof typeof gapsMs;
   readonly fault: 'none' | 'dies' | 'silent' | 'stalls';
 }
 
-const cases: readonly Case[] = [
+const cases: readonly SilenceCase[] = [
   { name: 'calm', gap: 'fast', fault: 'none' },
   { name: 'dies', gap: 'fast', fault: 'dies' },
   { name: 'silent', gap: 'fast', fault: 'silent' },
@@ -47,47 +51,50 @@
   { name: 'overloadedSilent', gap: 'overloaded', fault: 'silent' },
 ];
 
-/** One cell a bound and case. */
+/** Runs each fault case with each timeout. */
 export async function run({ seed }: RunOptions): Promise<readonly ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const bound of Object.keys(bounds)) {
-    for (const entry of cases) rows.push(await runCell(bound, entry, seed));
+    for (const silenceCase of cases) rows.push(await runCell(bound, silenceCase, seed));
   }
   return rows;
 }
 
-async function runCell(bound: string, entry: Case, seed: number): Promise<ResultRow> {
-  const faults = { met: 0 };
+async function runCell(bound: string, silenceCase: SilenceCase, seed: number): Promise<ResultRow> {
+  const faults = { injectedCount: 0 };
   await using load = await StreamLoad.start({
     seed,
-    engineOptions: { tokenGapMs: gapsMs[entry.gap], maxRunningRequests: 64 },
+    engineOptions: { tokenGapMs: gapsMs[silenceCase.gap], maxRunningRequests: 64 },
     wrap: (parts) => {
-      const clients = new FaultyUpstreams(parts.clients, planOf(entry, seed, faults));
+      const clients = new FaultyUpstreams(
+        parts.clients,
+        createFaultPlan(silenceCase, seed, faults),
+      );
       const options = bounds[bound];
       if (options !== undefined) clients.makeTokenGaps = () => new AdaptiveTimeout(options);
       return { ...parts, clients };
     },
   });
   const { clock } = load.fleet;
-  if (entry.fault === 'stalls') stallEngines(load);
-  const reading: Promise<CallOutcome>[] = [];
-  for (let index = 0; index < calls; index += 1) {
-    reading.push(load.read({ ...load.callOf(index), maxTokens }));
+  if (silenceCase.fault === 'stalls') stallEngines(load);
+  const reads: Promise<CallOutcome>[] = [];
+  for (let index = 0; index < requestCount; index += 1) {
+    reads.push(load.read({ ...load.callOf(index), maxTokens }));
     await clock.advance(callIntervalMs);
   }
-  const outcomes = await clock.runUntil(Promise.all(reading));
+  const outcomes = await clock.runUntil(Promise.all(reads));
   const resumes = load.instance.metrics.counter('resumes');
   return {
     bound,
     isDefault: bound === 'learnt',
-    case: entry.name,
+    case: silenceCase.name,
     seed,
-    requests: calls,
+    requests: requestCount,
     answered: outcomes.filter(({ final }) => final !== undefined).length,
     brokenOff: outcomes.filter(({ final }) => final === undefined).length,
-    faults: faults.met,
+    faults: faults.injectedCount,
     resumes,
-    needlessResumes: Math.max(0, resumes - faults.met),
+    needlessResumes: Math.max(0, resumes - faults.injectedCount),
     longestGapP95Ms: quantile(
       outcomes.map(({ longestGapMs }) => longestGapMs),
       0.95,
@@ -99,26 +106,30 @@
   };
 }
 
-function planOf({ fault }: Case, seed: number, faults: { met: number }): FaultPlan {
+function createFaultPlan(
+  { fault }: SilenceCase,
+  seed: number,
+  faults: { injectedCount: number },
+): FaultPlan {
   const random = createRandom(seed + 1);
   return (connection): ConnectionFault | undefined => {
     if (fault !== 'dies' && fault !== 'silent') return undefined;
     if (random() >= faultShare || connection.kind === 'resume') return undefined;
-    faults.met += 1;
+    faults.injectedCount += 1;
     return { kind: fault, afterTokens: 1 };
   };
 }
 
-/** An engine that reads a long prompt gives its running streams nothing for a while. */
+/** Simulates the prefill of long prompts, during which the engine's running streams get no tokens. */
 function stallEngines(load: StreamLoad): void {
   const { clock, clients } = load.fleet;
   for (const engine of clients.engines.values()) {
-    const next = () => {
+    const scheduleNext = () => {
       const isStalling = load.random() < stall.share;
       engine.slowFactor = isStalling ? stall.factor : 1;
       const durationMs = isStalling ? stall.longestMs * load.random() : stall.everyMs;
-      clock.schedule(durationMs, next);
+      clock.schedule(durationMs, scheduleNext);
     };
-    next();
+    scheduleNext();
   }
 }
