--- a/packages/standins/src/bench.ts
+++ b/packages/standins/src/bench.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run bench -- NAME`: measures speed on this machine, as ratios where they compare.
+ * `npm run bench -- NAME`: runs a benchmark on this machine; where two variants are compared, the
+ * result is a ratio.
  */
 import { runNamed } from './_lib/runNamed/index.js';
 
--- a/packages/standins/src/benches/_lib/roundHundredths/index.ts
+++ b/packages/standins/src/benches/_lib/roundHundredths/index.ts
@@ -1,5 +1,5 @@
 /**
- * Figures as benches print them.
+ * Rounding of the figures that benchmarks print.
  */
 
 /** Rounds to two decimal places. */
--- a/packages/standins/src/benches/_lib/startLoopbackFleet/index.ts
+++ b/packages/standins/src/benches/_lib/startLoopbackFleet/index.ts
@@ -1,5 +1,5 @@
 /**
- * One instance with its platform and one engine, over loopback, in one process.
+ * A router instance, a fake platform and a fake engine in one process, connected over loopback.
  */
 import {
   digestText,
@@ -25,14 +25,14 @@
 } from '@acaciacrank/store';
 import { StandinEngine } from '../../../StandinEngine/index.js';
 
-/** The key of the one client account. */
+/** API key of the only client account. */
 export const benchKey = 'bench-key';
-/** Budgets over which requests are spread, so that no page grows large. */
+/** Requests are distributed over these budgets so that no ledger page grows large. */
 const benchBudgets = Array.from({ length: 32 }, (_, index) => `bench-${index}`);
-/** The one model. */
+/** The only model. */
 export const benchModel = 'bench-model';
 
-/** Where the parts listen. */
+/** Addresses of the parts; disposing stops all of them. */
 export interface LoopbackFleet extends AsyncDisposable {
   readonly instanceUrl: string;
   readonly engineUrl: string;
@@ -51,14 +51,17 @@
 ${benchBudgets.map((id) => `      - { id: ${id}, openingTokens: 1000000000 }`).join('\n')}
 `;
 
-/** The budget of a request. */
-export function benchBudgetOf(key: string): string {
+/** Selects the budget of a request by its idempotency key. */
+export function benchBudgetFor(key: string): string {
   return benchBudgets[hashText(key) % benchBudgets.length] ?? '';
 }
 
-/** Starts everything; one engine with many places, so that only the router's own cost shows. */
+/**
+ * Starts platform, engine and instance. The engine has so many slots that only the cost of the router
+ * itself is measured.
+ */
 export async function startLoopbackFleet(tokenGapMs: number): Promise<LoopbackFleet> {
-  const owned = new DisposableStore();
+  const resources = new DisposableStore();
   const clock = new SystemClock();
   const platform = new MemoryPlatform(clock);
   const engine = new StandinEngine({
@@ -68,9 +71,9 @@
     fullBatchSlowdown: 1,
     tokenGapMs,
   });
-  const platformUrl = await listen(createStoreServer(platform), owned);
-  const engineUrl = await listen(createEngineServer(engine), owned);
-  const engineEntry: ListedInstance = {
+  const platformUrl = await listen(createStoreServer(platform), resources);
+  const engineUrl = await listen(createEngineServer(engine), resources);
+  const listedEngine: ListedInstance = {
     id: 'engine-1' as InstanceId,
     role: 'engine',
     service: 'engines' as ServiceName,
@@ -78,9 +81,9 @@
     failureDomain: 'bench' as FailureDomainId,
     state: 'live',
   };
-  platform.write(instanceListKey(engineEntry.id), engineEntry, { kind: 'none' });
+  platform.write(instanceListKey(listedEngine.id), listedEngine, { kind: 'none' });
   await acceptDocument(new MemoryObjectStore(platform, clock), clock, document);
-  const running = owned.add(
+  const running = resources.add(
     await runInstance({
       instanceId: 'bench-1',
       failureDomain: 'bench',
@@ -92,17 +95,17 @@
       logLevel: 'error',
     }),
   );
-  // The first load report says how many places there are.
+  // The instance learns the number of slots from the first load report.
   await clock.sleep(1_500);
   const instanceUrl = `http://127.0.0.1:${running.callersPort}`;
-  return { instanceUrl, engineUrl, platform, [Symbol.asyncDispose]: () => owned.dispose() };
+  return { instanceUrl, engineUrl, platform, [Symbol.asyncDispose]: () => resources.dispose() };
 }
 
-async function listen(server: Server, owned: DisposableStore): Promise<string> {
+async function listen(server: Server, resources: DisposableStore): Promise<string> {
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
-  owned.add({
+  resources.add({
     [Symbol.dispose]: () => {
       server.close();
       server.closeAllConnections();
--- a/packages/standins/src/benches/_lib/streamTokens/index.ts
+++ b/packages/standins/src/benches/_lib/streamTokens/index.ts
@@ -1,61 +1,67 @@
 /**
- * Streams from an engine directly, or through an instance, and takes the times.
+ * Streams tokens from an engine directly or through an instance, and measures latencies.
  */
 import { createParser } from 'eventsource-parser';
 import { request, type Dispatcher } from 'undici';
 import {
-  benchBudgetOf,
+  benchBudgetFor,
   benchKey,
   benchModel,
   type LoopbackFleet,
 } from '../startLoopbackFleet/index.js';
 
-/** What one stream took. */
+/** Latencies of one stream. */
 export interface StreamTimes {
   readonly firstTokenMs: number;
-  /** Mean time between two tokens, in milliseconds. */
+  /** Mean time between two tokens. */
   readonly tokenGapMs: number;
   readonly tokens: number;
 }
 
-/** One stream to open. */
+/** Parameters of one stream. */
 export interface StreamRequest {
   readonly dispatcher: Dispatcher;
   readonly key: string;
   readonly maxTokens: number;
 }
 
-/** Streams from the engine itself. */
-export function streamDirectly(fleet: LoopbackFleet, one: StreamRequest): Promise<StreamTimes> {
+/** Streams from the engine without the router. */
+export function streamFromEngine(
+  fleet: LoopbackFleet,
+  streamRequest: StreamRequest,
+): Promise<StreamTimes> {
   const body = JSON.stringify({
-    requestId: one.key,
+    requestId: streamRequest.key,
     model: benchModel,
-    messages: messagesOf(one),
-    maxTokens: one.maxTokens,
+    messages: createMessages(streamRequest),
+    maxTokens: streamRequest.maxTokens,
     priority: 0,
   });
   const isToken = (data: string) => data.includes('"kind":"token"');
-  return stream(`${fleet.engineUrl}/v1/generate`, one, body, {}, isToken);
+  return stream(`${fleet.engineUrl}/v1/generate`, streamRequest, body, {}, isToken);
 }
 
-/** Streams through the instance. */
-export function streamThrough(fleet: LoopbackFleet, one: StreamRequest): Promise<StreamTimes> {
+/** Streams from the engine through the router instance. */
+export function streamThroughInstance(
+  fleet: LoopbackFleet,
+  streamRequest: StreamRequest,
+): Promise<StreamTimes> {
   const body = JSON.stringify({
     model: benchModel,
-    messages: messagesOf(one),
-    max_tokens: one.maxTokens,
+    messages: createMessages(streamRequest),
+    max_tokens: streamRequest.maxTokens,
     stream: true,
   });
   const headers = {
     authorization: `Bearer ${benchKey}`,
-    'idempotency-key': one.key,
-    'acaciacrank-budget': benchBudgetOf(one.key),
+    'idempotency-key': streamRequest.key,
+    'acaciacrank-budget': benchBudgetFor(streamRequest.key),
   };
   const isToken = (data: string) => data.includes('"sequence":');
-  return stream(`${fleet.instanceUrl}/v1/chat/completions`, one, body, headers, isToken);
+  return stream(`${fleet.instanceUrl}/v1/chat/completions`, streamRequest, body, headers, isToken);
 }
 
-function messagesOf({ key }: StreamRequest) {
+function createMessages({ key }: StreamRequest) {
   return [{ role: 'user', content: `${key} `.padEnd(200, 'broth ') }];
 }
 
@@ -66,23 +72,23 @@
   headers: Record<string, string>,
   isToken: (data: string) => boolean,
 ): Promise<StreamTimes> {
-  const startedMs = performance.now();
-  const answer = await request(url, { dispatcher, method: 'POST', headers, body });
-  if (answer.statusCode !== 200)
-    throw new Error(`${answer.statusCode}: ${await answer.body.text()}`);
+  const startedAtMs = performance.now();
+  const response = await request(url, { dispatcher, method: 'POST', headers, body });
+  if (response.statusCode !== 200)
+    throw new Error(`${response.statusCode}: ${await response.body.text()}`);
   let tokens = 0;
-  let firstMs = startedMs;
-  let lastMs = startedMs;
+  let firstTokenAtMs = startedAtMs;
+  let lastTokenAtMs = startedAtMs;
   const parser = createParser({
     onEvent: ({ data }) => {
       if (!isToken(data)) return;
-      lastMs = performance.now();
-      if (tokens === 0) firstMs = lastMs;
+      lastTokenAtMs = performance.now();
+      if (tokens === 0) firstTokenAtMs = lastTokenAtMs;
       tokens += 1;
     },
   });
-  for await (const chunk of answer.body as AsyncIterable<Buffer>)
+  for await (const chunk of response.body as AsyncIterable<Buffer>)
     parser.feed(chunk.toString('utf8'));
-  const tokenGapMs = (lastMs - firstMs) / Math.max(1, tokens - 1);
-  return { firstTokenMs: firstMs - startedMs, tokenGapMs, tokens };
+  const tokenGapMs = (lastTokenAtMs - firstTokenAtMs) / Math.max(1, tokens - 1);
+  return { firstTokenMs: firstTokenAtMs - startedAtMs, tokenGapMs, tokens };
 }
--- a/packages/standins/src/benches/compare/index.ts
+++ b/packages/standins/src/benches/compare/index.ts
@@ -1,13 +1,17 @@
 /**
- * `npm run bench -- compare --before A.json --after B.json`: two results of the same bench, side by
- * side as ratios.
+ * `npm run bench -- compare --before A.json --after B.json`: prints two results of the same benchmark
+ * side by side with their ratios.
  */
 import { RouterError } from '@acaciacrank/base';
 import { readFileSync } from 'node:fs';
 import type { ResultRow } from '../../printTable/index.js';
 import type { RunOptions } from '../../_lib/runNamed/index.js';
 
-/** Runs the comparison. */
+/**
+ * Compares the two files.
+ *
+ * @throws RouterError `badRequest` when a flag is missing
+ */
 export function run({ flags }: RunOptions): Promise<readonly ResultRow[]> {
   const rows = compareResults(readRows(flags.before, '--before'), readRows(flags.after, '--after'));
   return Promise.resolve(rows);
@@ -17,8 +21,9 @@
  * Compares two results row by row.
  *
  * @param before - rows of the earlier run
- * @param after - rows of the later run, of the same bench
- * @returns one row a number field that differs, with the ratio of after to before
+ * @param after - rows of the later run of the same benchmark
+ * @returns one row for each numeric field that differs, with the ratio of after to before, or null
+ *   where the earlier value is 0
  *
  * @example
  * compareResults([{ size: 12, decisionMicroseconds: 2 }], [{ size: 12, decisionMicroseconds: 3 }]);
--- a/packages/standins/src/benches/compare/test.ts
+++ b/packages/standins/src/benches/compare/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { compareResults } from './index.js';
 
-test('numbers that differ are told with their ratio', (t) => {
+test('numeric fields that differ are returned with their ratio', (t) => {
   const before = [{ policy: 'a', size: 12, decisionMicroseconds: 2 }];
   const after = [{ policy: 'a', size: 12, decisionMicroseconds: 3 }];
   t.deepEqual(compareResults(before, after), [
--- a/packages/standins/src/benches/configuration/index.ts
+++ b/packages/standins/src/benches/configuration/index.ts
@@ -1,6 +1,6 @@
 /**
- * What a configuration costs an instance in time and memory, by its size: a start, one changed
- * account, and the look-ups of the request path.
+ * Measures the time and memory that a configuration costs an instance, by its size: loading it at
+ * start, loading a change of one account, and the lookups on the request path.
  */
 import { createRandom, digestText, SystemClock, type AccountId } from '@acaciacrank/base';
 import {
@@ -24,7 +24,7 @@
 const changes = 6;
 const clock = new SystemClock();
 
-/** Measures each size. */
+/** Measures each configuration size. */
 export const run: NamedRun = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
   for (const size of sizes) rows.push(await measure(size, createRandom(seed)));
@@ -39,11 +39,11 @@
   const compileMs = clock.monotonicMs() - compileStartMs;
   const texts = new Map([...objectsOf(compiled)].map(({ digest, text }) => [digest, text]));
   const source = new MemoryConfigurationObjects(texts);
-  const heapBeforeBytes = heapBytes();
+  const heapBeforeBytes = readHeapBytes();
   const startMs = clock.monotonicMs();
   const loaded = await loadConfiguration(source, compiled.root);
   const startLoadMs = clock.monotonicMs() - startMs;
-  const loadedBytes = heapBytes() - heapBeforeBytes;
+  const loadedBytes = readHeapBytes() - heapBeforeBytes;
   let inForce = loaded;
   let changeLoadMs = 0;
   for (let round = 0; round < changes; round += 1) {
@@ -59,13 +59,13 @@
   const index = new EnvironmentIndex(inForce);
   const lookUpStartMs = clock.monotonicMs();
   for (let round = 0; round < lookups; round += 1) {
-    const at = Math.floor(random() * size.accounts);
-    const accountId = `account-${at}` as AccountId;
-    const inner = Math.floor(random() * size.budgetsPerAccount);
-    index.budgetOf(accountId, `${accountId}-budget-${inner}`);
+    const accountIndex = Math.floor(random() * size.accounts);
+    const accountId = `account-${accountIndex}` as AccountId;
+    const budgetIndex = Math.floor(random() * size.budgetsPerAccount);
+    index.budgetOf(accountId, `${accountId}-budget-${budgetIndex}`);
   }
   const lookupMicroseconds = (1_000 * (clock.monotonicMs() - lookUpStartMs)) / lookups;
-  const keys = Array.from({ length: 1_000 }, (_, at) => `key-${at % size.accounts}`);
+  const keys = Array.from({ length: 1_000 }, (_, keyIndex) => `key-${keyIndex % size.accounts}`);
   const keyStartMs = clock.monotonicMs();
   for (const key of keys) index.accountOfKey(key);
   const keyMicroseconds = (1_000 * (clock.monotonicMs() - keyStartMs)) / keys.length;
@@ -86,8 +86,8 @@
   };
 }
 
-/** What is on the heap and in use; exact only where the collector can be called. */
-function heapBytes(): number {
+/** Used heap in bytes; exact only if Node.js runs with `--expose-gc`. */
+function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
--- a/packages/standins/src/benches/control/index.ts
+++ b/packages/standins/src/benches/control/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- control`: what an instance spends on knowing its upstreams: reading the
- * platform's list, choosing its subset, and reading a load report over loopback.
+ * `npm run bench -- control`: measures the CPU time that an instance needs to track its upstreams:
+ * reading the platform's instance list, choosing its subset, and reading a load report over loopback.
  */
 import {
   SystemClock,
@@ -28,7 +28,7 @@
 const loadReads = 2_000;
 const clock = new SystemClock();
 
-/** Runs the bench. */
+/** Measures three fleet sizes, and the reading of load reports. */
 export async function run(): Promise<readonly ResultRow[]> {
   const rows: ResultRow[] = [];
   for (const [instances, upstreams, services] of [
@@ -46,8 +46,8 @@
 
 async function readList(instances: number, upstreams: number): Promise<ResultRow> {
   const platform = new MemoryPlatform(clock);
-  for (let at = 0; at < instances + upstreams; at += 1) {
-    const entry = entryOf(at, instances);
+  for (let index = 0; index < instances + upstreams; index += 1) {
+    const entry = createListedInstance(index, instances);
     platform.write(instanceListKey(entry.id), entry, { kind: 'none' });
   }
   const server = createStoreServer(platform);
@@ -57,9 +57,9 @@
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
   const store = new PlatformObjectStore({ url, clock });
   const list = new StoredInstanceList(store);
-  const before = process.cpuUsage();
+  const cpuBefore = process.cpuUsage();
   for (let read = 0; read < listReads; read += 1) await list.read();
-  const { user, system } = process.cpuUsage(before);
+  const { user, system } = process.cpuUsage(cpuBefore);
   await store[Symbol.asyncDispose]();
   server.close();
   const listBytes = JSON.stringify(platform.objects()).length;
@@ -69,37 +69,43 @@
   };
 }
 
-function entryOf(at: number, instances: number): ListedInstance {
-  const isEntry = at < instances;
+function createListedInstance(index: number, instances: number): ListedInstance {
+  const isEntry = index < instances;
   return {
-    id: `instance-${at}` as InstanceId,
+    id: `instance-${index}` as InstanceId,
     role: isEntry ? 'entry' : 'engine',
-    service: `service-${at % 36}` as ServiceName,
-    url: `http://10.0.${at >> 8}.${at % 256}:8080`,
-    failureDomain: `domain-${at % 20}` as FailureDomainId,
+    service: `service-${index % 36}` as ServiceName,
+    url: `http://10.0.${index >> 8}.${index % 256}:8080`,
+    failureDomain: `domain-${index % 20}` as FailureDomainId,
     state: 'live',
   };
 }
 
 function chooseSubsets(instances: number, upstreams: number, services: number): ResultRow {
-  const ids = Array.from({ length: instances }, (_, at) => `instance-${at}` as InstanceId);
-  const own = ids[0] ?? ('instance-0' as InstanceId);
+  const ids = Array.from({ length: instances }, (_, index) => `instance-${index}` as InstanceId);
+  const ownId = ids[0] ?? ('instance-0' as InstanceId);
   const startedMs = clock.monotonicMs();
-  let chosen = 0;
+  let chosenCount = 0;
   for (let service = 0; service < services; service += 1) {
     const count = Math.ceil(upstreams / services);
-    const members = Array.from({ length: count }, (_, at) => `${service}-${at}` as UpstreamId);
-    chosen += chooseSubset(own, ids, members).size;
+    const members = Array.from(
+      { length: count },
+      (_, index) => `${service}-${index}` as UpstreamId,
+    );
+    chosenCount += chooseSubset(ownId, ids, members).size;
   }
-  return { subsetUpstreams: chosen, subsetMs: roundHundredths(clock.monotonicMs() - startedMs) };
+  return {
+    subsetUpstreams: chosenCount,
+    subsetMs: roundHundredths(clock.monotonicMs() - startedMs),
+  };
 }
 
-/** Both ends are in this process, so this bounds the reader's own cost from above. */
+/** Client and server are both in this process, so the result is an upper bound for the client. */
 async function readLoads(): Promise<ResultRow> {
   await using fleet = await startLoopbackFleet(20);
   await using client = new HttpEngineClient({ url: fleet.engineUrl, clock });
-  const before = process.cpuUsage();
+  const cpuBefore = process.cpuUsage();
   for (let read = 0; read < loadReads; read += 1) await client.readLoad();
-  const { user, system } = process.cpuUsage(before);
+  const { user, system } = process.cpuUsage(cpuBefore);
   return { loadReadCpuMicroseconds: roundHundredths((user + system) / loadReads) };
 }
--- a/packages/standins/src/benches/fleet/index.ts
+++ b/packages/standins/src/benches/fleet/index.ts
@@ -1,31 +1,32 @@
 /**
- * What the control traffic of one instance costs, at several sizes of the fleet in one run.
+ * Measures the cost of the control traffic of one instance at several fleet sizes in one run.
  *
- * Membership and configuration spread run whole, on virtual time, with messages encoded and checked
- * as on the real links. Changes come at the target's rate whatever the size, so that a small fleet
- * carries what the large one would: 19,000 configuration versions and 1,140 failures and restarts a
- * day. The last row is not measured but extrapolated, by the slope per doubling of the fleet.
+ * The real membership and configuration gossip run in virtual time, with messages encoded and
+ * validated as on real links. Changes occur at the rate of the target fleet at every size, so that a
+ * small fleet carries the same load as the large one: 19,000 configuration versions and 1,140
+ * failures and restarts a day. The last row is not measured but extrapolated by the slope per
+ * doubling of the fleet.
  */
 import { millisecondsInDay, millisecondsInSecond } from '@acaciacrank/base';
 import { MemberFleet } from '../../_lib/MemberFleet/index.js';
 import type { RunOptions } from '../../_lib/runNamed/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
-/** What one size came to, for an instance. */
+/** Cost for each instance at one fleet size. */
 export interface FleetCost {
   readonly instances: number;
   readonly sentMessagesPerSecond: number;
   readonly sentBytesPerSecond: number;
-  /** With headers of WebSocket, TCP and IP, and TCP's own acknowledgements. */
+  /** Including headers of WebSocket, TCP and IP, and TCP acknowledgements. */
   readonly wireBytesPerSecond: number;
-  /** Of the busiest instance in the busiest second, while a partition into halves heals. */
+  /** Sent by the busiest instance in its busiest second after a partition into halves has healed. */
   readonly healPeakWireBytesPerSecond: number;
-  /** Of the busiest instance, over the 20 s after a partition into halves heals. */
+  /** Sent by the busiest instance, averaged over the 20 s after a partition into halves has healed. */
   readonly healMeanWireBytesPerSecond: number;
-  /** Until everybody sees everybody again; null for more than the 20 s that are looked at. */
+  /** Time until all instances see each other again; null if longer than the 20 s that are measured. */
   readonly healedMs: number | null;
   readonly neighbours: number;
-  /** Both ends' work on messages, decisions and timers, of one core. */
+  /** CPU time for messages at both ends, decisions and timers, as a percentage of one core. */
   readonly corePercent: number;
 }
 
@@ -34,19 +35,19 @@
 const measuredSeconds = 120;
 const configurationEveryMs = millisecondsInDay / 19_000;
 const restartEveryMs = millisecondsInDay / (240 + 900);
-/** WebSocket 8, TCP and IP 40, and 40 for an acknowledgement that travels alone. */
+/** For each message: WebSocket 8, TCP and IP 40, and 40 for a separate TCP acknowledgement. */
 const headerBytes = 88;
-/** About what a manifest with eight earlier versions takes. */
+/** Approximate size of a manifest that lists eight earlier versions. */
 const manifestBytes = 4_000;
 const healSeconds = 20;
-const settleMs = 60 * millisecondsInSecond;
+const maxSettleMs = 60 * millisecondsInSecond;
 
 interface Totals {
   messages: number;
   bytes: number;
 }
 
-function totalsOf(fleet: MemberFleet): Map<string, Totals> {
+function readTotals(fleet: MemberFleet): Map<string, Totals> {
   return new Map(
     [...fleet.nodes.values()].map(({ id, links }) => [
       id,
@@ -55,8 +56,8 @@
   );
 }
 
-/** Lets changes come at the target's rate for a while. */
-async function runSteady(fleet: MemberFleet): Promise<void> {
+/** Applies versions and restarts at the rate of the target fleet for the measured time. */
+async function runSteadyState(fleet: MemberFleet): Promise<void> {
   const { clock } = fleet;
   const untilMs = clock.monotonicMs() + measuredSeconds * millisecondsInSecond;
   let nextVersionMs = clock.monotonicMs() + configurationEveryMs;
@@ -76,32 +77,39 @@
   }
 }
 
-interface Heal {
-  readonly peak: number;
-  readonly mean: number;
+interface HealTraffic {
+  readonly peakBytesPerSecond: number;
+  readonly meanBytesPerSecond: number;
   readonly healedMs: number | null;
 }
 
-/** What the busiest instance sends while a partition into halves heals, in bytes on the wire. */
-async function measureHeal(fleet: MemberFleet): Promise<Heal> {
+/** Measures the bytes on the wire that the busiest instance sends after a partition has healed. */
+async function measureHeal(fleet: MemberFleet): Promise<HealTraffic> {
   const ids = [...fleet.nodes.keys()];
   fleet.network.partition(ids.slice(0, ids.length / 2), ids.slice(ids.length / 2));
-  await fleet.clock.advance(settleMs / 2);
+  await fleet.clock.advance(maxSettleMs / 2);
   fleet.network.heal();
-  const start = totalsOf(fleet);
-  let peak = 0;
+  const start = readTotals(fleet);
+  let peakBytesPerSecond = 0;
   let healedMs: number | undefined;
   for (let second = 0; second < healSeconds; second += 1) {
-    const before = totalsOf(fleet);
+    const before = readTotals(fleet);
     await fleet.clock.advance(millisecondsInSecond);
-    peak = Math.max(peak, mostSent(before, totalsOf(fleet)));
+    peakBytesPerSecond = Math.max(peakBytesPerSecond, maxSentWireBytes(before, readTotals(fleet)));
     if (fleet.isWhole) healedMs ??= (second + 1) * millisecondsInSecond;
   }
-  const mean = mostSent(start, totalsOf(fleet)) / healSeconds;
-  return { peak, mean, healedMs: healedMs ?? null };
+  const meanBytesPerSecond = maxSentWireBytes(start, readTotals(fleet)) / healSeconds;
+  return {
+    peakBytesPerSecond,
+    meanBytesPerSecond,
+    healedMs: healedMs ?? null,
+  };
 }
 
-function mostSent(before: ReadonlyMap<string, Totals>, after: ReadonlyMap<string, Totals>): number {
+function maxSentWireBytes(
+  before: ReadonlyMap<string, Totals>,
+  after: ReadonlyMap<string, Totals>,
+): number {
   const sent = [...after].map(([id, { messages, bytes }]) => {
     const earlier = before.get(id) ?? { messages: 0, bytes: 0 };
     return bytes - earlier.bytes + headerBytes * (messages - earlier.messages);
@@ -109,19 +117,19 @@
   return Math.max(...sent);
 }
 
-/** Measures one size. */
+/** Measures one fleet size. */
 export async function measureFleet(instances: number, seed: number): Promise<FleetCost> {
   const fleet = new MemberFleet(instances, seed, manifestBytes);
-  await fleet.timeUntil(() => fleet.isWhole, settleMs);
-  await fleet.clock.advance(settleMs / 2);
+  await fleet.timeUntil(() => fleet.isWhole, maxSettleMs);
+  await fleet.clock.advance(maxSettleMs / 2);
   const before = fleet.sent();
   const cpuBefore = process.cpuUsage();
-  await runSteady(fleet);
+  await runSteadyState(fleet);
   const cpu = process.cpuUsage(cpuBefore);
   const after = fleet.sent();
-  const perSecond = instances * measuredSeconds;
-  const messages = (after.messages - before.messages) / perSecond;
-  const bytes = (after.bytes - before.bytes) / perSecond;
+  const instanceSeconds = instances * measuredSeconds;
+  const messages = (after.messages - before.messages) / instanceSeconds;
+  const bytes = (after.bytes - before.bytes) / instanceSeconds;
   const neighbours = [...fleet.nodes.values()].map((node) => node.membership.neighbours.length);
   const heal = await measureHeal(fleet);
   for (const id of [...fleet.nodes.keys()]) fleet.crash(id);
@@ -130,31 +138,31 @@
     sentMessagesPerSecond: round(messages),
     sentBytesPerSecond: round(bytes),
     wireBytesPerSecond: round(bytes + headerBytes * messages),
-    healPeakWireBytesPerSecond: heal.peak,
-    healMeanWireBytesPerSecond: round(heal.mean),
+    healPeakWireBytesPerSecond: heal.peakBytesPerSecond,
+    healMeanWireBytesPerSecond: round(heal.meanBytesPerSecond),
     healedMs: heal.healedMs,
     neighbours: round(neighbours.reduce((sum, count) => sum + count, 0) / instances),
-    corePercent: round((100 * (cpu.user + cpu.system)) / 1e6 / perSecond, 3),
+    corePercent: round((100 * (cpu.user + cpu.system)) / 1e6 / instanceSeconds, 3),
   };
 }
 
-/** Continues the slope per doubling from the two largest sizes. */
+/** Extrapolates linearly in the logarithm of the fleet size, from the two largest sizes. */
 export function extrapolate(costs: readonly FleetCost[], instances: number): FleetCost {
   const [smaller, larger] = costs.slice(-2) as [FleetCost, FleetCost];
   const doublings = Math.log2(larger.instances / smaller.instances);
-  const ahead = Math.log2(instances / larger.instances);
-  const next = (field: Exclude<keyof FleetCost, 'healedMs'>) =>
-    round(larger[field] + ((larger[field] - smaller[field]) / doublings) * ahead);
+  const doublingsBeyond = Math.log2(instances / larger.instances);
+  const extrapolateField = (field: Exclude<keyof FleetCost, 'healedMs'>) =>
+    round(larger[field] + ((larger[field] - smaller[field]) / doublings) * doublingsBeyond);
   return {
     instances,
-    sentMessagesPerSecond: next('sentMessagesPerSecond'),
-    sentBytesPerSecond: next('sentBytesPerSecond'),
-    wireBytesPerSecond: next('wireBytesPerSecond'),
-    healPeakWireBytesPerSecond: next('healPeakWireBytesPerSecond'),
+    sentMessagesPerSecond: extrapolateField('sentMessagesPerSecond'),
+    sentBytesPerSecond: extrapolateField('sentBytesPerSecond'),
+    wireBytesPerSecond: extrapolateField('wireBytesPerSecond'),
+    healPeakWireBytesPerSecond: extrapolateField('healPeakWireBytesPerSecond'),
     healedMs: null,
-    healMeanWireBytesPerSecond: next('healMeanWireBytesPerSecond'),
-    neighbours: next('neighbours'),
-    corePercent: next('corePercent'),
+    healMeanWireBytesPerSecond: extrapolateField('healMeanWireBytesPerSecond'),
+    neighbours: extrapolateField('neighbours'),
+    corePercent: extrapolateField('corePercent'),
   };
 }
 
@@ -162,7 +170,7 @@
   return Number(value.toFixed(digits));
 }
 
-/** Measures 5, 20 and 80 instances, and extrapolates to the target's size. */
+/** Measures 5, 20 and 80 instances, and extrapolates to the target fleet's size. */
 export async function run({ seed }: RunOptions): Promise<readonly ResultRow[]> {
   const costs: FleetCost[] = [];
   for (const instances of sizes) costs.push(await measureFleet(instances, seed));
--- a/packages/standins/src/benches/ledger/_lib/benchBudget/index.ts
+++ b/packages/standins/src/benches/ledger/_lib/benchBudget/index.ts
@@ -2,9 +2,9 @@
 import type { BudgetRef, SettleRequest } from '@acaciacrank/ledger';
 
 /**
- * A budget with names as long as they are in use.
+ * Creates a budget with ids of realistic length.
  *
- * @param index - which; 0 to 9 are of different client accounts
+ * @param index - number of the budget; 0 to 9 belong to different client accounts
  */
 export function benchBudget(index: number): BudgetRef {
   return {
@@ -15,10 +15,10 @@
 }
 
 /**
- * A request to bill, with a key and a digest as long as they are in use.
+ * Creates a request to settle, with a key and a digest of realistic length.
  *
- * @param budget - which budget
- * @param index - which request
+ * @param budget - the budget
+ * @param index - number of the request
  */
 export function benchRequest(budget: BudgetRef, index: number): SettleRequest {
   const uuid = `5f0c2a9e-7f1b-4c1d-9a55-${String(index).padStart(12, '0')}`;
--- a/packages/standins/src/benches/ledger/_lib/measureCalls/index.ts
+++ b/packages/standins/src/benches/ledger/_lib/measureCalls/index.ts
@@ -4,7 +4,7 @@
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import { benchBudget, benchRequest } from '../benchBudget/index.js';
 
-/** One setting of the measurement. */
+/** Parameters of one measurement. */
 export interface CallsSetting {
   readonly requestsPerSecond: number;
   readonly instances: number;
@@ -12,12 +12,12 @@
   readonly groupCommitMs: number;
 }
 
-/** What it took. */
+/** Store calls and latency of one measurement. */
 export interface MeasuredCalls {
   readonly storeWritesPer1000Requests: number;
   readonly storeReadsPer1000Requests: number;
   readonly storeCallsPerSecond: number;
-  /** How long a bill took to be durable, on average. */
+  /** Mean time until a settlement was durable. */
   readonly billWaitMs: number;
 }
 
@@ -26,10 +26,10 @@
 const storeDelayMs = 4;
 
 /**
- * Counts store calls on virtual time.
+ * Counts the store calls of a workload in virtual time.
  *
  * @param setting - load and size
- * @returns calls for each request and second
+ * @returns store calls per 1,000 requests and per second, and the mean settlement latency
  */
 export async function measureCalls(setting: CallsSetting): Promise<MeasuredCalls> {
   const clock = new ManualClock();
@@ -37,7 +37,7 @@
   const ledgers = startLedgers(setting, clock, platform);
   const random = createRandom(1);
   let requests = 0;
-  let waitedMs = 0;
+  let totalBillWaitMs = 0;
   const serve = async (index: number) => {
     const ledger = ledgers[Math.floor(random() * ledgers.length)] as BudgetLedger;
     const budget = benchBudget(Math.floor(random() * setting.budgets));
@@ -45,7 +45,7 @@
     await clock.sleep(requestMs);
     const endedMs = clock.monotonicMs();
     await ledger.settle(reservation, benchRequest(budget, index));
-    waitedMs += clock.monotonicMs() - endedMs;
+    totalBillWaitMs += clock.monotonicMs() - endedMs;
   };
   const gapMs = 1_000 / setting.requestsPerSecond;
   for (let atMs = 0; atMs < durationMs; atMs += gapMs * 2 * random()) {
@@ -60,7 +60,7 @@
     storeWritesPer1000Requests: Math.round((1_000 * writes) / requests),
     storeReadsPer1000Requests: Math.round((1_000 * reads) / requests),
     storeCallsPerSecond: Math.round(((reads + writes) * 1_000) / durationMs),
-    billWaitMs: Math.round((10 * waitedMs) / requests) / 10,
+    billWaitMs: Math.round((10 * totalBillWaitMs) / requests) / 10,
   };
 }
 
--- a/packages/standins/src/benches/ledger/_lib/measureCosts/index.ts
+++ b/packages/standins/src/benches/ledger/_lib/measureCosts/index.ts
@@ -15,7 +15,7 @@
 
 const applyOptions = { nowMs: 1_000, graceMs: 1_000, keyProtectionMs: Infinity };
 
-/** A page with budgets, and in its first budget grants and request keys. */
+/** Creates a page with some budgets, the first of which has some grants and request keys. */
 export function makePage(budgets: number, grants: number, keys: number): LedgerPage {
   let page = emptyPage;
   for (let index = 0; index < budgets; index += 1) {
@@ -25,8 +25,13 @@
   const budget = benchBudget(0);
   for (let index = 0; index < grants; index += 1) page = addGrant(page, budget, index);
   for (let index = 0; index < keys; index += 1) {
-    const bill = { kind: 'bill', budget, parts: [], ...benchRequest(budget, index) } as const;
-    page = applyOperation(page, bill, applyOptions).page;
+    const billOperation = {
+      kind: 'bill',
+      budget,
+      parts: [],
+      ...benchRequest(budget, index),
+    } as const;
+    page = applyOperation(page, billOperation, applyOptions).page;
   }
   return page;
 }
@@ -48,37 +53,37 @@
   return applyOperation(page, grant, applyOptions).page;
 }
 
-/** Bytes of a page as it is stored. */
+/** Size of a page in the store, in bytes. */
 export function pageBytes(page: LedgerPage): number {
   return Buffer.byteLength(JSON.stringify(page));
 }
 
-/** Bytes that a page takes in memory once it was read. */
+/** Heap that a page takes after it was read from the store, in bytes. */
 export function heapBytes(page: LedgerPage): number {
   setFlagsFromString('--expose-gc');
-  const collect = runInNewContext('gc') as () => void;
+  const collectGarbage = runInNewContext('gc') as () => void;
   const text = JSON.stringify(page);
-  collect();
+  collectGarbage();
   const beforeBytes = process.memoryUsage().heapUsed;
   const copies = Array.from({ length: 10 }, () => JSON.parse(text) as LedgerPage);
-  collect();
+  collectGarbage();
   const afterBytes = process.memoryUsage().heapUsed;
   return (afterBytes - beforeBytes) / copies.length;
 }
 
-/** Processor time of one reservation and one bill, in microseconds. */
+/** CPU time of one reservation and of one settlement. */
 export interface MeasuredCosts {
   readonly reserveMicroseconds: number;
   readonly settleMicroseconds: number;
 }
 
 /**
- * Measures processor time against a platform in this process, which copies nothing.
+ * Measures CPU time with an in-process platform that does not copy stored values.
  *
- * @param keys - how many request keys the page holds at the start
- * @param together - how many bills are written in one update
+ * @param keys - number of request keys in the page at the start
+ * @param batchSize - number of settlements that are written in one update
  */
-export async function measureCosts(keys: number, together: number): Promise<MeasuredCosts> {
+export async function measureCosts(keys: number, batchSize: number): Promise<MeasuredCosts> {
   const clock = new SystemClock();
   const platform = new MemoryPlatform(clock, 0, { isSharing: true });
   using ledger = new BudgetLedger({
@@ -93,17 +98,26 @@
     maxOpenRequests: Infinity,
   });
   const budget = benchBudget(0);
-  const total = 400;
-  await bill(ledger, budget, await reserve(ledger, budget, keys), 0, Math.max(1, keys));
+  const requestCount = 400;
+  await settleInBatches(
+    ledger,
+    budget,
+    await reserveMany(ledger, budget, keys),
+    0,
+    Math.max(1, keys),
+  );
   const reserveStart = process.cpuUsage();
-  const reservations = await reserve(ledger, budget, total);
-  const reserveMicroseconds = spentSince(reserveStart) / total;
+  const reservations = await reserveMany(ledger, budget, requestCount);
+  const reserveMicroseconds = cpuMicrosecondsSince(reserveStart) / requestCount;
   const settleStart = process.cpuUsage();
-  await bill(ledger, budget, reservations, keys, together);
-  return { reserveMicroseconds, settleMicroseconds: spentSince(settleStart) / total };
+  await settleInBatches(ledger, budget, reservations, keys, batchSize);
+  return {
+    reserveMicroseconds,
+    settleMicroseconds: cpuMicrosecondsSince(settleStart) / requestCount,
+  };
 }
 
-async function reserve(ledger: BudgetLedger, budget: BudgetRef, count: number) {
+async function reserveMany(ledger: BudgetLedger, budget: BudgetRef, count: number) {
   const reservations: Reservation[] = [];
   for (let index = 0; index < count; index += 1) {
     reservations.push(await ledger.reserve(budget, 500));
@@ -111,15 +125,15 @@
   return reservations;
 }
 
-async function bill(
+async function settleInBatches(
   ledger: BudgetLedger,
   budget: BudgetRef,
   reservations: readonly Reservation[],
   firstIndex: number,
-  together: number,
+  batchSize: number,
 ): Promise<void> {
-  for (let start = 0; start < reservations.length; start += together) {
-    const batch = reservations.slice(start, start + together);
+  for (let start = 0; start < reservations.length; start += batchSize) {
+    const batch = reservations.slice(start, start + batchSize);
     const settling = batch.map((reservation, index) =>
       ledger.settle(reservation, benchRequest(budget, firstIndex + start + index)),
     );
@@ -127,7 +141,7 @@
   }
 }
 
-function spentSince(start: NodeJS.CpuUsage): number {
+function cpuMicrosecondsSince(start: NodeJS.CpuUsage): number {
   const { user, system } = process.cpuUsage(start);
   return user + system;
 }
--- a/packages/standins/src/benches/ledger/index.ts
+++ b/packages/standins/src/benches/ledger/index.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger's slopes: bytes, processor time and store calls.
+ * Measures how the size, CPU time and store calls of the ledger grow with its load and contents.
  */
 import type { ResultRow } from '../../printTable/index.js';
 import { measureCalls, type CallsSetting } from './_lib/measureCalls/index.js';
@@ -7,11 +7,11 @@
 
 const loads = [2, 20, 100, 300];
 const settings: readonly CallsSetting[] = [
-  ...loads.map((requestsPerSecond) => setting({ requestsPerSecond, groupCommitMs: 0 })),
-  ...loads.map((requestsPerSecond) => setting({ requestsPerSecond })),
-  ...loads.map((requestsPerSecond) => setting({ requestsPerSecond, groupCommitMs: 200 })),
-  ...[1, 3].map((instances) => setting({ instances })),
-  ...[1, 40, 400].map((budgets) => setting({ budgets })),
+  ...loads.map((requestsPerSecond) => createSetting({ requestsPerSecond, groupCommitMs: 0 })),
+  ...loads.map((requestsPerSecond) => createSetting({ requestsPerSecond })),
+  ...loads.map((requestsPerSecond) => createSetting({ requestsPerSecond, groupCommitMs: 200 })),
+  ...[1, 3].map((instances) => createSetting({ instances })),
+  ...[1, 40, 400].map((budgets) => createSetting({ budgets })),
 ];
 
 const emptyRow = {
@@ -31,7 +31,7 @@
   billWaitMs: null,
 } as const;
 
-/** Measures all of it; takes well under a minute. */
+/** Runs all measurements; takes well under a minute. */
 export async function run(): Promise<readonly ResultRow[]> {
   const rows: ResultRow[] = [...sizeRows()];
   for (const [keysInPage, billsTogether] of costSettings) {
@@ -40,8 +40,13 @@
     rows.push({ ...shared, measure: 'reserve', cpuMicroseconds: round(costs.reserveMicroseconds) });
     rows.push({ ...shared, measure: 'settle', cpuMicroseconds: round(costs.settleMicroseconds) });
   }
-  for (const one of settings) {
-    rows.push({ ...emptyRow, measure: 'storeCalls', ...one, ...(await measureCalls(one)) });
+  for (const callsSetting of settings) {
+    rows.push({
+      ...emptyRow,
+      measure: 'storeCalls',
+      ...callsSetting,
+      ...(await measureCalls(callsSetting)),
+    });
   }
   return rows;
 }
@@ -53,24 +58,24 @@
   [1_000, 20],
 ];
 
-function setting(changes: Partial<CallsSetting>): CallsSetting {
+function createSetting(changes: Partial<CallsSetting>): CallsSetting {
   return { requestsPerSecond: 100, instances: 5, budgets: 10, groupCommitMs: 50, ...changes };
 }
 
-/** What one more budget, grant or key takes. */
+/** Size of one additional budget, grant or request key. */
 function sizeRows(): ResultRow[] {
   const count = 1_000;
-  const one = makePage(1, 0, 0);
-  const larger = {
+  const baseline = makePage(1, 0, 0);
+  const pages = {
     budget: makePage(1 + count, 0, 0),
     grant: makePage(1, count, 0),
     key: makePage(1, 0, count),
   };
-  return Object.entries(larger).map(([measure, page]) => ({
+  return Object.entries(pages).map(([measure, page]) => ({
     ...emptyRow,
     measure,
-    pageBytes: round((pageBytes(page) - pageBytes(one)) / count),
-    heapBytes: round((heapBytes(page) - heapBytes(one)) / count),
+    pageBytes: round((pageBytes(page) - pageBytes(baseline)) / count),
+    heapBytes: round((heapBytes(page) - heapBytes(baseline)) / count),
   }));
 }
 
--- a/packages/standins/src/benches/path/index.ts
+++ b/packages/standins/src/benches/path/index.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- path`: what the router adds to a request and to a token, over a direct connection
- * to the same engine stand-in, in one process and one run.
+ * `npm run bench -- path`: measures the latency and CPU time that the router adds to a request and to
+ * a token, against a direct connection to the same fake engine, in one process and one run.
  */
 import { Agent, type Dispatcher } from 'undici';
 import type { ResultRow } from '../../printTable/index.js';
@@ -8,37 +8,37 @@
 import { median } from '../_lib/median/index.js';
 import { startLoopbackFleet, type LoopbackFleet } from '../_lib/startLoopbackFleet/index.js';
 import {
-  streamDirectly,
-  streamThrough,
+  streamFromEngine,
+  streamThroughInstance,
   type StreamRequest,
   type StreamTimes,
 } from '../_lib/streamTokens/index.js';
 import { roundHundredths } from '../_lib/roundHundredths/index.js';
 
-/** How often each measurement is repeated; the median counts. */
+/** Number of repetitions of each measurement, of which the median is reported. */
 const rounds = 5;
 const microsecondsInSecond = 1_000_000;
 
-type OpenStream = (fleet: LoopbackFleet, one: StreamRequest) => Promise<StreamTimes>;
+type OpenStream = (fleet: LoopbackFleet, streamRequest: StreamRequest) => Promise<StreamTimes>;
 
-interface Measured {
+interface StreamCosts {
   readonly firstTokenMs: number;
   readonly tokenGapMs: number;
   readonly cpuMicrosecondsPerToken: number;
   readonly cpuMicrosecondsPerRequest: number;
 }
 
-/** Runs the bench. */
+/** Measures long streams at three concurrency levels, and short streams at one. */
 export async function run(options: RunOptions): Promise<readonly ResultRow[]> {
   const dispatcher = new Agent({ connections: 512 });
   await using fleet = await startLoopbackFleet(5);
   const rows: ResultRow[] = [];
   for (const openStreams of [1, 20, 100]) {
     const size = { streams: Math.max(20, openStreams), openStreams, maxTokens: 120 };
-    rows.push(await compareAt(fleet, dispatcher, size, `${options.seed}-long`));
+    rows.push(await comparePaths(fleet, dispatcher, size, `${options.seed}-long`));
   }
   const short = { streams: 150, openStreams: 20, maxTokens: 2 };
-  rows.push(await compareAt(fleet, dispatcher, short, `${options.seed}-short`));
+  rows.push(await comparePaths(fleet, dispatcher, short, `${options.seed}-short`));
   await dispatcher.close();
   return rows;
 }
@@ -49,24 +49,32 @@
   readonly maxTokens: number;
 }
 
-async function compareAt(
+async function comparePaths(
   fleet: LoopbackFleet,
   dispatcher: Dispatcher,
   size: LoadSize,
-  prefix: string,
+  keyPrefix: string,
 ): Promise<ResultRow> {
-  await measure(fleet, dispatcher, size, `${prefix}-${size.openStreams}-warm`, streamThrough);
-  const direct: Measured[] = [];
-  const through: Measured[] = [];
+  await measure(
+    fleet,
+    dispatcher,
+    size,
+    `${keyPrefix}-${size.openStreams}-warm`,
+    streamThroughInstance,
+  );
+  const direct: StreamCosts[] = [];
+  const throughInstance: StreamCosts[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    const key = `${prefix}-${size.openStreams}-${round}`;
-    direct.push(await measure(fleet, dispatcher, size, `${key}-d`, streamDirectly));
-    through.push(await measure(fleet, dispatcher, size, `${key}-t`, streamThrough));
+    const key = `${keyPrefix}-${size.openStreams}-${round}`;
+    direct.push(await measure(fleet, dispatcher, size, `${key}-d`, streamFromEngine));
+    throughInstance.push(await measure(fleet, dispatcher, size, `${key}-t`, streamThroughInstance));
   }
-  const of = (runs: readonly Measured[], field: keyof Measured) =>
-    median(runs.map((one) => one[field]));
-  const added = (field: keyof Measured) => of(through, field) - of(direct, field);
-  const ratio = (field: keyof Measured) => roundHundredths(of(through, field) / of(direct, field));
+  const medianOf = (runs: readonly StreamCosts[], field: keyof StreamCosts) =>
+    median(runs.map((costs) => costs[field]));
+  const added = (field: keyof StreamCosts) =>
+    medianOf(throughInstance, field) - medianOf(direct, field);
+  const ratio = (field: keyof StreamCosts) =>
+    roundHundredths(medianOf(throughInstance, field) / medianOf(direct, field));
   return {
     openStreams: size.openStreams,
     maxTokens: size.maxTokens,
@@ -84,26 +92,30 @@
   fleet: LoopbackFleet,
   dispatcher: Dispatcher,
   size: LoadSize,
-  prefix: string,
+  keyPrefix: string,
   open: OpenStream,
-): Promise<Measured> {
-  const before = process.cpuUsage();
+): Promise<StreamCosts> {
+  const cpuBefore = process.cpuUsage();
   const times: StreamTimes[] = [];
-  let next = 0;
+  let startedStreams = 0;
   const worker = async () => {
-    while (next < size.streams) {
-      next += 1;
-      const one = { dispatcher, key: `${prefix}-${next}`, maxTokens: size.maxTokens };
-      times.push(await open(fleet, one));
+    while (startedStreams < size.streams) {
+      startedStreams += 1;
+      const streamRequest = {
+        dispatcher,
+        key: `${keyPrefix}-${startedStreams}`,
+        maxTokens: size.maxTokens,
+      };
+      times.push(await open(fleet, streamRequest));
     }
   };
   await Promise.all(Array.from({ length: size.openStreams }, worker));
-  const used = process.cpuUsage(before);
-  const cpuMicroseconds = used.user + used.system;
-  const tokens = times.reduce((sum, one) => sum + one.tokens, 0);
+  const cpuUsed = process.cpuUsage(cpuBefore);
+  const cpuMicroseconds = cpuUsed.user + cpuUsed.system;
+  const tokens = times.reduce((sum, stream) => sum + stream.tokens, 0);
   return {
-    firstTokenMs: median(times.map((one) => one.firstTokenMs)),
-    tokenGapMs: median(times.map((one) => one.tokenGapMs)),
+    firstTokenMs: median(times.map((stream) => stream.firstTokenMs)),
+    tokenGapMs: median(times.map((stream) => stream.tokenGapMs)),
     cpuMicrosecondsPerToken: cpuMicroseconds / Math.max(1, tokens),
     cpuMicrosecondsPerRequest: cpuMicroseconds / times.length,
   };
--- a/packages/standins/src/benches/routing/index.ts
+++ b/packages/standins/src/benches/routing/index.ts
@@ -1,5 +1,5 @@
 /**
- * What one routing decision costs, by the number of upstreams of the service.
+ * Measures the CPU time of one routing decision by the number of upstreams of the service.
  */
 import {
   createRandom,
@@ -22,59 +22,65 @@
 const rounds = 7;
 const prefixes = 200;
 const service = 'assistant' as never;
-/** Requests that stay under way meanwhile, for each upstream. */
-const heldPerUpstream = 2;
+/** Number of requests on each upstream that stay in flight during the measurement. */
+const inFlightPerUpstream = 2;
 
 /**
- * Takes the least of several rounds, so that other work on the machine does not count.
+ * Reports the minimum over several rounds, to exclude the effect of other load on the machine.
  *
  * @param options - the seed
  * @returns one row for each number of upstreams; the ratio is to the first
  */
 export async function run(options: RunOptions): Promise<readonly ResultRow[]> {
-  const decideOf = await Promise.all(upstreamCounts.map((count) => createDecide(count, options)));
-  const leastMicros = decideOf.map(() => Infinity);
-  // Sizes take turns, so that a slow spell of the machine meets all of them alike.
+  const decisionRunners = await Promise.all(
+    upstreamCounts.map((count) => createDecisionRunner(count, options)),
+  );
+  const minMicroseconds = decisionRunners.map(() => Infinity);
+  // Alternate between the sizes, so that a slow phase of the machine affects all of them equally.
   for (let round = 0; round < rounds; round += 1) {
-    for (const [index, decide] of decideOf.entries()) {
-      const startedMicros = process.cpuUsage();
-      for (let count = 0; count < decisionsPerRound; count += 1) await decide();
-      const { user, system } = process.cpuUsage(startedMicros);
-      const micros = (user + system) / decisionsPerRound;
-      leastMicros[index] = Math.min(leastMicros[index] ?? Infinity, micros);
+    for (const [index, runDecision] of decisionRunners.entries()) {
+      const cpuBefore = process.cpuUsage();
+      for (let count = 0; count < decisionsPerRound; count += 1) await runDecision();
+      const { user, system } = process.cpuUsage(cpuBefore);
+      const microseconds = (user + system) / decisionsPerRound;
+      minMicroseconds[index] = Math.min(minMicroseconds[index] ?? Infinity, microseconds);
     }
   }
   return upstreamCounts.map((upstreams, index) => ({
     upstreams,
     decisions: decisionsPerRound * rounds,
-    processorMicrosecondsPerDecision: roundHundredths(leastMicros[index] ?? 0),
-    ratioToFewest: roundHundredths((leastMicros[index] ?? 0) / (leastMicros[0] ?? 1)),
+    processorMicrosecondsPerDecision: roundHundredths(minMicroseconds[index] ?? 0),
+    ratioToFewest: roundHundredths((minMicroseconds[index] ?? 0) / (minMicroseconds[0] ?? 1)),
   }));
 }
 
-/** One decision: admit, find the candidates, choose, count as under way, first token, end. */
-async function createDecide(count: number, { seed }: RunOptions): Promise<() => Promise<void>> {
+/** Creates a function that makes one decision: admit, list candidates, select, begin and end. */
+async function createDecisionRunner(
+  count: number,
+  { seed }: RunOptions,
+): Promise<() => Promise<void>> {
   const clock = new ManualClock();
   const random = createRandom(seed);
   const registry = await createRegistry(clock, count);
-  const choice = new PrefixAffinity();
+  const selector = new PrefixAffinity();
   const queue = new AdmissionQueue({ clock, limit: () => registry.slots(service) });
   const signal = new AbortController().signal;
   for (const upstream of registry.all()) {
-    for (let held = 0; held < heldPerUpstream; held += 1) registry.begin(upstream, 1);
+    for (let inFlight = 0; inFlight < inFlightPerUpstream; inFlight += 1)
+      registry.begin(upstream, 1);
   }
   let decisions = 0;
   return async () => {
     decisions += 1;
     const accountId = `account-${decisions % 10}` as AccountId;
     const request = { service, priority: 1, accountId, waitMs: 2_000, signal };
-    using place = await queue.admit(request);
-    void place;
+    using slot = await queue.admit(request);
+    void slot;
     const context = { random, prefixHash: decisions % prefixes };
-    const upstream = choice.choose(registry.candidates(service), context);
-    if (upstream === undefined) throw new Error('there is no candidate');
-    using use = registry.begin(upstream, request.priority);
-    use.progress();
+    const upstream = selector.choose(registry.candidates(service), context);
+    if (upstream === undefined) throw new Error('no candidate upstream');
+    using inFlightRequest = registry.begin(upstream, request.priority);
+    inFlightRequest.progress();
   };
 }
 
@@ -93,8 +99,8 @@
       state: 'live',
     });
   }
-  const link = { isDown: false, delayMs: 0, answersToLose: 0 };
-  const list = new MemoryInstanceList(platform, link);
+  const healthyLink = { isDown: false, delayMs: 0, answersToLose: 0 };
+  const list = new MemoryInstanceList(platform, healthyLink);
   const registry = new UpstreamRegistry({ list, clients, clock });
   await clock.runUntil(registry.start());
   await clock.advance(1);
