--- a/packages/standins/src/scenarios/parseScenario/test.ts
+++ b/packages/standins/src/scenarios/parseScenario/test.ts
@@ -8,14 +8,14 @@
 expect: {}
 `;
 
-test('durations become milliseconds and defaults are filled in', (t) => {
+test('durations are converted to milliseconds and defaults are applied', (t) => {
   const scenario = parseScenario(good, 'a.yaml');
   t.is(scenario.traffic[0]?.every, 200);
   t.is(scenario.fleet.instances, 3);
   t.is(scenario.settle, 120_000);
 });
 
-test('a bad field is named with its line', (t) => {
+test('the error for an invalid field has its line and path', (t) => {
   t.throws(() => parseScenario(good.replace('200ms', 'often'), 'a.yaml'), {
     message: /^a\.yaml:4: traffic\.0\.every: write a duration/,
   });
--- a/packages/standins/src/scenarios/runScenario/index.ts
+++ b/packages/standins/src/scenarios/runScenario/index.ts
@@ -9,7 +9,7 @@
 import { wrapInstance } from '../../faults/wrapInstance/index.js';
 import type { Bounds, Scenario, ScenarioEvent, ScenarioTraffic } from '../scenarioSchema/index.js';
 
-/** What a scenario came to. */
+/** Result of a scenario. */
 export interface ScenarioResult {
   readonly name: string;
   readonly requests: number;
@@ -23,45 +23,47 @@
   readonly faults: readonly string[];
 }
 
-/** How often a caller tries one request. */
+/** Maximum number of attempts of a caller for one request. */
 const maxAttempts = 6;
-/** How long a stopping instance may take, in milliseconds. */
+/** Maximum duration of the planned stop of an instance, in milliseconds. */
 const stopLimitMs = 600_000;
 
 /**
- * Runs a scenario on virtual time and checks every invariant and its expectations.
+ * Runs a scenario in virtual time and checks all invariants and the expectations of the scenario.
  *
- * @param scenario - what happens
- * @returns what was seen
+ * @param scenario - the scenario
+ * @returns the measured values, failed invariants and unmet expectations
  *
  * @example
  * const { faults } = await runScenario(parseScenario(text, path));
  */
 export async function runScenario(scenario: Scenario): Promise<ScenarioResult> {
   let gate: StepGate | undefined;
-  const gateFor = (clock: ManualClock) => (gate ??= new StepGate(clock, []));
+  const getGate = (clock: ManualClock) => (gate ??= new StepGate(clock, []));
   const { budgetTokens, ...sizes } = scenario.fleet;
   const fleet = await createLocalFleet({
     ...sizes,
     document: storyDocument('first', budgetTokens),
     seed: scenario.seed,
-    wrap: (parts, clock) => wrapInstance(gateFor(clock), parts),
+    wrap: (parts, clock) => wrapInstance(getGate(clock), parts),
   });
-  const context = new StoryContext(fleet, gateFor(fleet.clock), { openingTokens: budgetTokens });
+  const context = new StoryContext(fleet, getGate(fleet.clock), { openingTokens: budgetTokens });
   const run = new ScenarioRun(scenario, context);
-  const result = await run.play();
-  const living = fleet.instances.filter(({ id }) => !context.gate.isDead(id));
-  await fleet.clock.runUntil(Promise.all(living.map((one) => one.instance[Symbol.asyncDispose]())));
+  const result = await run.execute();
+  const runningInstances = fleet.instances.filter(({ id }) => !context.gate.isDead(id));
+  await fleet.clock.runUntil(
+    Promise.all(runningInstances.map((one) => one.instance[Symbol.asyncDispose]())),
+  );
   return result;
 }
 
-/** One run of a scenario: plays events and traffic, then measures. */
+/** One run of a scenario: sends traffic and applies events, then measures the result. */
 class ScenarioRun {
   readonly #scenario: Scenario;
   readonly #context: StoryContext;
   readonly #fleet: LocalFleet;
   readonly #requests: Promise<AttemptOutcome>[] = [];
-  readonly #background: Promise<unknown>[] = [];
+  readonly #backgroundTasks: Promise<unknown>[] = [];
   #acceptedMs: number | undefined;
   #inForceMs = 0;
 
@@ -71,82 +73,89 @@
     this.#fleet = context.fleet;
   }
 
-  async play(): Promise<ScenarioResult> {
+  async execute(): Promise<ScenarioResult> {
     const { clock } = this.#fleet;
     const startedMs = clock.monotonicMs();
-    const traffic = this.#scenario.traffic.map((kind) => this.#send(kind));
+    const traffic = this.#scenario.traffic.map((workload) => this.#sendTraffic(workload));
     const events = [...this.#scenario.events].sort((a, b) => a.at - b.at);
     for (const event of events) {
       await clock.advance(Math.max(0, startedMs + event.at - clock.monotonicMs()));
-      await this.#happen(event);
+      await this.#applyEvent(event);
     }
     await clock.runUntil(Promise.all(traffic));
     await clock.runUntil(Promise.all(this.#requests));
-    await clock.runUntil(Promise.all(this.#background));
+    await clock.runUntil(Promise.all(this.#backgroundTasks));
     await clock.advance(this.#scenario.settle);
     return this.#measure();
   }
 
-  async #send(kind: ScenarioTraffic): Promise<void> {
+  async #sendTraffic(workload: ScenarioTraffic): Promise<void> {
     const { clock } = this.#fleet;
-    await clock.sleep(kind.from);
-    for (let sentMs = kind.from, index = 0; sentMs < kind.to; sentMs += kind.every, index += 1) {
-      this.#requests.push(this.#request(kind, `${kind.name}-${index}`));
-      await clock.sleep(kind.every);
+    await clock.sleep(workload.from);
+    for (
+      let sentMs = workload.from, index = 0;
+      sentMs < workload.to;
+      sentMs += workload.every, index += 1
+    ) {
+      this.#requests.push(this.#request(workload, `${workload.name}-${index}`));
+      await clock.sleep(workload.every);
     }
   }
 
-  /** One caller: takes the directory's first instance, and on trouble the next. */
-  async #request(kind: ScenarioTraffic, key: string): Promise<AttemptOutcome> {
+  /** Simulates one caller, which retries on another instance of the directory after an error. */
+  async #request(workload: ScenarioTraffic, key: string): Promise<AttemptOutcome> {
     const failed = new Set<string>();
     for (let count = 1; ; count += 1) {
-      const index = this.#instanceFor(kind, failed);
-      const outcome = await this.#attempt(kind, key, index, count);
+      const index = this.#chooseInstance(workload, failed);
+      const outcome = await this.#attempt(workload, key, index, count);
       const isAnswered = outcome.final !== undefined || outcome.answer !== undefined;
       const { error } = outcome;
-      const isOver = error !== undefined && error.retryAfterMs === undefined;
-      if (isAnswered || isOver || count === maxAttempts) return outcome;
+      const isFinalError = error !== undefined && error.retryAfterMs === undefined;
+      if (isAnswered || isFinalError || count === maxAttempts) return outcome;
       failed.add(outcome.instanceId);
       if (failed.size >= this.#fleet.instances.length) failed.clear();
       await this.#fleet.clock.sleep(error?.retryAfterMs ?? 500);
     }
   }
 
-  #attempt(kind: ScenarioTraffic, key: string, index: number, count: number) {
-    if (kind.kind === 'read') return this.#context.service(index, key, 'GET');
-    if (kind.kind === 'write') return this.#context.service(index, key, 'POST');
-    const { hangUpAfterTokens } = kind;
-    const hangsUp = hangUpAfterTokens !== undefined && count === 1;
-    return this.#context.chat(index, key, hangsUp ? { hangUpAfterTokens } : {});
+  #attempt(workload: ScenarioTraffic, key: string, index: number, count: number) {
+    if (workload.kind === 'read') return this.#context.service(index, key, 'GET');
+    if (workload.kind === 'write') return this.#context.service(index, key, 'POST');
+    const { hangUpAfterTokens } = workload;
+    const shouldHangUp = hangUpAfterTokens !== undefined && count === 1;
+    return this.#context.chat(index, key, shouldHangUp ? { hangUpAfterTokens } : {});
   }
 
-  #instanceFor(kind: ScenarioTraffic, failed: ReadonlySet<string>): number {
+  #chooseInstance(workload: ScenarioTraffic, failed: ReadonlySet<string>): number {
     const { instances } = this.#fleet;
-    const named = instances.findIndex(({ id }) => id === kind.at);
-    if (named >= 0 && !failed.has(kind.at)) return named;
-    const asked = instances.find(({ id }) => this.#context.gate.isAwake(id) && !failed.has(id));
-    const listed = asked?.instance.directory.answer(budget.accountId, undefined).instances ?? [];
-    const first = listed.find(({ id }) => !failed.has(id)) ?? asked;
+    const named = instances.findIndex(({ id }) => id === workload.at);
+    if (named >= 0 && !failed.has(workload.at)) return named;
+    const directoryInstance = instances.find(
+      ({ id }) => this.#context.gate.isAwake(id) && !failed.has(id),
+    );
+    const listed =
+      directoryInstance?.instance.directory.answer(budget.accountId, undefined).instances ?? [];
+    const first = listed.find(({ id }) => !failed.has(id)) ?? directoryInstance;
     return Math.max(
       0,
       instances.findIndex(({ id }) => id === first?.id),
     );
   }
 
-  async #happen(event: ScenarioEvent): Promise<void> {
+  async #applyEvent(event: ScenarioEvent): Promise<void> {
     const { gate } = this.#context;
     if ('crash' in event) this.#crash(event.crash);
     else if ('start' in event)
       this.#context.watchVersion(await this.#fleet.addInstance(event.start));
-    else if ('stop' in event) this.#background.push(this.#stop(event.stop));
+    else if ('stop' in event) this.#backgroundTasks.push(this.#stop(event.stop));
     else if ('pause' in event) gate.pause(event.pause, event.for);
     else if ('cut' in event) for (const actor of event.cut) gate.cutOff(actor, event.for);
     else if ('storeDown' in event) gate.takeStoreDown(event.storeDown);
     else if ('loseAnswers' in event) gate.loseAnswers(event.loseAnswers, event.count);
     else if ('silence' in event) this.#silence(event.silence, event.to);
     else if ('leave' in event) this.#leave(event.leave);
-    else if ('topUp' in event) this.#background.push(this.#topUp(event));
-    else this.#background.push(this.#promote(event));
+    else if ('topUp' in event) this.#backgroundTasks.push(this.#topUp(event));
+    else this.#backgroundTasks.push(this.#promote(event));
   }
 
   #crash(id: string): void {
@@ -160,9 +169,13 @@
   }
 
   async #stop(id: string): Promise<void> {
-    const local = this.#fleet.instances.find((one) => one.id === id);
-    await Promise.race([local?.instance.drain(stopLimitMs), this.#context.gate.whenDead(id)]);
-    const isOpen = (local?.instance.openRequests ?? 0) > 0 && !this.#context.gate.isDead(id);
+    const localInstance = this.#fleet.instances.find((one) => one.id === id);
+    await Promise.race([
+      localInstance?.instance.drain(stopLimitMs),
+      this.#context.gate.whenDead(id),
+    ]);
+    const isOpen =
+      (localInstance?.instance.openRequests ?? 0) > 0 && !this.#context.gate.isDead(id);
     if (isOpen) this.#context.violations.push({ invariant: 'plannedStopCutsNothing', what: id });
     this.#crash(id);
   }
@@ -180,8 +193,8 @@
     const store = this.#context.operatorStore(event.by);
     const { clock } = this.#fleet;
     for (;;) {
-      const work = topUpBudget(store, clock, budget, event.topUp, event.tokens);
-      if ((await work.catch(() => undefined)) !== undefined) return;
+      const operation = topUpBudget(store, clock, budget, event.topUp, event.tokens);
+      if ((await operation.catch(() => undefined)) !== undefined) return;
       await clock.sleep(5_000);
     }
   }
@@ -190,23 +203,26 @@
     const { clock } = this.#fleet;
     const store = this.#context.operatorStore(event.by);
     const text = storyDocument(event.promote, this.#scenario.fleet.budgetTokens);
-    const work = acceptDocument(store, clock, text, { expectedVersion: event.from });
-    const acceptance = await work.catch(() => undefined);
+    const operation = acceptDocument(store, clock, text, { expectedVersion: event.from });
+    const acceptance = await operation.catch(() => undefined);
     if (acceptance?.outcome !== 'accepted') return;
     this.#acceptedMs = clock.monotonicMs();
-    await this.#untilInForce(acceptance.manifest.version);
+    await this.#waitUntilInForce(acceptance.manifest.version);
   }
 
-  /** Instances that cannot be reached do not count until they can. */
-  async #untilInForce(version: number): Promise<void> {
+  /**
+   * Waits until the version is in force on all instances, except those that are dead, paused or cut
+   * off at the time of a check.
+   */
+  async #waitUntilInForce(version: number): Promise<void> {
     const { clock, instances } = this.#fleet;
     const { gate } = this.#context;
-    const lags = () =>
+    const isLagging = () =>
       instances.some(
         ({ id, instance }) =>
           gate.isAwake(id) && (instance.configuration.inForce.value?.version ?? 0) < version,
       );
-    while (lags() && clock.monotonicMs() - (this.#acceptedMs ?? 0) < 600_000)
+    while (isLagging() && clock.monotonicMs() - (this.#acceptedMs ?? 0) < 600_000)
       await clock.sleep(100);
     this.#inForceMs = Math.max(this.#inForceMs, clock.monotonicMs() - (this.#acceptedMs ?? 0));
   }
@@ -232,7 +248,10 @@
     const violations = checkRecords(this.#context).map(
       ({ invariant, what }) => `${invariant}: ${what}`,
     );
-    return { ...measured, faults: [...violations, ...unmet(this.#scenario, measured)] };
+    return {
+      ...measured,
+      faults: [...violations, ...findUnmetExpectations(this.#scenario, measured)],
+    };
   }
 
   #settledTokens(): number {
@@ -249,7 +268,10 @@
   }
 }
 
-function unmet(scenario: Scenario, measured: Omit<ScenarioResult, 'faults'>): string[] {
+function findUnmetExpectations(
+  scenario: Scenario,
+  measured: Omit<ScenarioResult, 'faults'>,
+): string[] {
   const { refused, ...bounds } = scenario.expect;
   const rows: (readonly [string, number, Bounds | undefined])[] = [
     ['answeredPercent', measured.answeredPercent, bounds.answeredPercent],
--- a/packages/standins/src/scenarios/runScenario/test.ts
+++ b/packages/standins/src/scenarios/runScenario/test.ts
@@ -6,7 +6,7 @@
 
 const folder = new URL('../../../../../scenarios/', import.meta.url);
 
-// Each file in scenarios/ tells its own story.
+// Each file in scenarios/ describes in its `story` field which failure it tests.
 for (const name of readdirSync(fileURLToPath(folder)).filter((file) => file.endsWith('.yaml'))) {
   const scenario = parseScenario(readFileSync(new URL(name, folder), 'utf8'), name);
   test(`${name}: ${scenario.name}`, async (t) => {
--- a/packages/standins/src/scenarios/scenarioSchema/index.ts
+++ b/packages/standins/src/scenarios/scenarioSchema/index.ts
@@ -1,5 +1,5 @@
 /**
- * The scenario language: a fleet, traffic, events at times, and what is expected.
+ * The schema of scenario files: a fleet, traffic, timed events and expectations.
  */
 import { z } from 'zod';
 import { durationPattern, parseDuration } from '../_lib/parseDuration/index.js';
@@ -12,15 +12,15 @@
 const count = z.number().int().nonnegative();
 
 const traffic = z.strictObject({
-  /** Begins the keys of these requests. */
+  /** Prefix of the idempotency keys of these requests. */
   name: z.string().min(1),
   kind: z.enum(['chat', 'read', 'write']),
   from: duration,
   to: duration,
   every: duration,
-  /** `directory`, or the instance that is called first. */
+  /** `directory`, or the id of the instance that is called first. */
   at: z.string().default('directory'),
-  /** The caller hangs up after so many tokens and comes back with the same key. */
+  /** The caller disconnects after this many tokens and retries with the same idempotency key. */
   hangUpAfterTokens: count.optional(),
 });
 
@@ -47,7 +47,7 @@
 
 const bounds = z.strictObject({ atLeast: z.number().optional(), atMost: z.number().optional() });
 
-/** Checks a scenario. */
+/** Validates a scenario and converts its durations to milliseconds. */
 export const scenarioSchema = z.strictObject({
   name: z.string().min(1),
   story: z.string().min(1),
@@ -62,20 +62,20 @@
     .prefault({}),
   traffic: z.array(traffic).default([]),
   events: z.array(event).default([]),
-  /** How long is waited after the last event and request. */
+  /** Time to wait after the last event and request before the result is measured. */
   settle: duration.prefault('120s'),
   expect: z.strictObject({
-    /** Of all requests, in the end, over all retries. */
+    /** Percentage of the requests that were answered, after all retries. */
     answeredPercent: bounds.optional(),
-    /** Refusals by error kind, each attempt counted. */
+    /** Number of refused attempts by error kind. */
     refused: z.record(z.string(), bounds).default({}),
-    /** What the budget has settled, in tokens. */
+    /** Tokens that were settled in the budget. */
     settledTokens: bounds.optional(),
-    /** Accepted versions. */
+    /** Latest accepted configuration version. */
     version: bounds.optional(),
-    /** How long after its acceptance a version was in force everywhere, in milliseconds. */
+    /** Time from the acceptance of a version until it was in force everywhere, in milliseconds. */
     inForceMs: bounds.optional(),
-    /** How long the slowest attempt took, in milliseconds. */
+    /** Duration of the slowest attempt, in milliseconds. */
     slowestAttemptMs: bounds.optional(),
   }),
 });
@@ -84,7 +84,7 @@
 export type Scenario = z.infer<typeof scenarioSchema>;
 /** One event of a scenario. */
 export type ScenarioEvent = Scenario['events'][number];
-/** One kind of traffic of a scenario. */
+/** One workload of a scenario: requests of one kind at a fixed interval. */
 export type ScenarioTraffic = Scenario['traffic'][number];
-/** What a measured value must lie between. */
+/** Inclusive bounds of a measured value. */
 export type Bounds = z.infer<typeof bounds>;
