--- a/packages/callers/src/EngineDispatch/index.ts
+++ b/packages/callers/src/EngineDispatch/index.ts
@@ -179,7 +179,7 @@
       return;
     }
     if (state.nextSequence === 0) engine.firstTokenTimeout.observe(nowMs - state.dispatchedMs);
-    else engine.tokenGaps.observe(nowMs - state.lastProgressMs);
+    else engine.tokenGapTimeout.observe(nowMs - state.lastProgressMs);
     state.nextSequence = frame.sequence + 1;
     state.lastProgressMs = nowMs;
     state.consecutiveFailures = 0;
@@ -205,7 +205,7 @@
    */
   #progressTimeoutMs(engine: EngineClient, task: GenerationTask, state: StreamState): number {
     const factor = 2 ** state.consecutiveFailures;
-    if (state.nextSequence > 0) return engine.tokenGaps.limitMs() * factor;
+    if (state.nextSequence > 0) return engine.tokenGapTimeout.limitMs() * factor;
     const learnedTimeoutMs = engine.firstTokenTimeout.limitMs() * factor;
     const remainingMs = task.firstTokenDueMs - this.#options.clock.monotonicMs();
     if (remainingMs <= 0) return learnedTimeoutMs;
--- a/packages/callers/src/_lib/UpstreamPicker/index.ts
+++ b/packages/callers/src/_lib/UpstreamPicker/index.ts
@@ -15,7 +15,7 @@
   random: Random;
   metrics: Metrics;
   registry: UpstreamRegistry;
-  choice: UpstreamSelector;
+  selector: UpstreamSelector;
   retries: RetryBudget;
 }
 
@@ -58,11 +58,11 @@
    * @returns undefined if there is no upstream or no retry left
    */
   next(): Upstream | undefined {
-    const { registry, choice, random, retries } = this.#options;
+    const { registry, selector, random, retries } = this.#options;
     const { service, className, prefixHash } = this.#criteria;
     if (this.#tried.size >= maxUpstreamsTried) return undefined;
     const candidates = registry.candidates(service, this.#tried);
-    const upstream = choice.choose(candidates, { random, prefixHash });
+    const upstream = selector.choose(candidates, { random, prefixHash });
     if (upstream === undefined || !this.#isAttemptAllowed()) return undefined;
     this.#lastTried = upstream;
     this.#tried.add(upstream.id);
--- a/packages/forwarding/src/ForwardingInstance/index.ts
+++ b/packages/forwarding/src/ForwardingInstance/index.ts
@@ -225,7 +225,7 @@
       isReady: this.isReady,
       isShortOfTokens: this.#handler.isShortOfTokens,
       isStoreUnavailable: this.#configurationFollower.isLost,
-      usablePeers: this.fleet.usable,
+      usablePeers: this.fleet.usablePeers,
       peerCount: this.fleet.peerCount,
     });
     this.#directoryLog.record(instances.map((one) => one.instanceId));
@@ -430,7 +430,7 @@
       const table = new RouteTable(configuration);
       this.#storedConfiguration = stored;
       this.routes.set(table);
-      this.fleet.serve();
+      this.fleet.declareLive();
       this.tokens.setLimits(table.prepaidLimits(), configuration.version);
       applyCallerLimits(this.#server, configuration.limits);
       metrics.count('configurations', 'applied');
--- a/packages/forwarding/src/InstanceFleet/index.ts
+++ b/packages/forwarding/src/InstanceFleet/index.ts
@@ -124,7 +124,7 @@
   /**
    * The other instances that callers may use: live ones, and suspected ones that were live before.
    */
-  get usable(): readonly CallerInstance[] {
+  get usablePeers(): readonly CallerInstance[] {
     return this.#members
       .filter(({ state, wasLive }) => state === 'live' || (state === 'suspect' && wasLive))
       .map(({ id, url, failureDomain }) => ({ instanceId: id, url, failureDomain }));
@@ -199,7 +199,7 @@
   }
 
   /** Announces to the others that this instance accepts callers. */
-  serve(): void {
+  declareLive(): void {
     this.#membership.declareLive();
   }
 
--- a/packages/forwarding/src/_lib/pickUpstream/index.ts
+++ b/packages/forwarding/src/_lib/pickUpstream/index.ts
@@ -94,8 +94,8 @@
   const { promptTokens, promptPartLocations, model, nowMs } = request;
   const ownTokens = Math.min(request.promptParts.at(-1)?.tokens ?? 0, promptTokens);
   const sharedTokens = promptTokens - ownTokens;
-  const ownMs = model.readMs(ownTokens, sharedTokens);
-  const sharedPartsMs = Math.max(0, model.readMs(promptTokens, 0) - ownMs);
+  const ownMs = model.estimatePrefillMs(ownTokens, sharedTokens);
+  const sharedPartsMs = Math.max(0, model.estimatePrefillMs(promptTokens, 0) - ownMs);
   const holders = promptPartLocations.enginesWith(shared.id, nowMs);
   const placement = placePrompt({ key: shared.id, sharedPartsMs, holders }, usable);
   if (placement === undefined) return undefined;
--- a/packages/router/src/EngineOrders/index.ts
+++ b/packages/router/src/EngineOrders/index.ts
@@ -130,7 +130,7 @@
         holder: instanceId,
         incarnation,
       }),
-      rate: new WeightLoadRateLimiter({
+      rateLimiter: new WeightLoadRateLimiter({
         clock,
         loadsPerMinute: service.holds?.loadsPerMinute ?? 1,
       }),
--- a/packages/router/src/Instance/index.ts
+++ b/packages/router/src/Instance/index.ts
@@ -65,7 +65,7 @@
   failureDomain?: FailureDomainId;
   grantPolicy?: GrantPolicy;
   /** Selects the upstream for each request; prefix affinity by default. */
-  choice?: UpstreamSelector;
+  selector?: UpstreamSelector;
   /** How long a started answer continues after its caller has disconnected, in milliseconds. */
   lingerMs?: number;
 }
@@ -103,7 +103,7 @@
     const { clock, random, store, list, clients, environment, instanceId } = options;
     // Differs after each restart. Member records call it `life`; their `incarnation` is a counter.
     const runId = Math.floor(random() * 2 ** 48).toString(36);
-    const choice = options.choice ?? new PrefixAffinity();
+    const selector = options.selector ?? new PrefixAffinity();
     this.links = options.links ?? new NoFleetLinks();
     this.rpc = this.#owned.add(new FleetRpc({ links: this.links, clock }));
     this.configuration = this.#owned.add(
@@ -125,7 +125,7 @@
         instanceCount: () => this.directory.usableInstanceCount,
         outliers: { random },
         onCacheEvent: (upstream, event) => {
-          choice.handleCacheEvent(upstream, event);
+          selector.handleCacheEvent(upstream, event);
         },
       }),
     );
@@ -192,7 +192,7 @@
     const sharedOptions = {
       clock,
       random,
-      choice,
+      selector,
       metrics: this.metrics,
       ledger: this.ledger,
       registry: this.registry,
--- a/packages/routing/src/PeerBacklogEstimator/test.ts
+++ b/packages/routing/src/PeerBacklogEstimator/test.ts
@@ -29,7 +29,7 @@
   );
   const events: { atMs: number; observe: () => void }[] = [];
   const waitsMs: number[] = [];
-  const readMs = 100;
+  const prefillMs = 100;
   for (let nowMs = 0; nowMs < 20_000; nowMs += 25) {
     for (const event of events.splice(0)) {
       if (event.atMs > nowMs) events.push(event);
@@ -47,11 +47,11 @@
     if (placement === undefined) return waitsMs;
     const { id } = placement.engine;
     const waitMs = Math.max(0, (busyUntilMs.get(id) ?? 0) - nowMs);
-    busyUntilMs.set(id, nowMs + waitMs + readMs);
+    busyUntilMs.set(id, nowMs + waitMs + prefillMs);
     waitsMs.push(waitMs);
     events.push({
-      atMs: nowMs + waitMs + readMs,
-      observe: () => estimators?.get(id)?.observe(waitMs, nowMs + waitMs + readMs),
+      atMs: nowMs + waitMs + prefillMs,
+      observe: () => estimators?.get(id)?.observe(waitMs, nowMs + waitMs + prefillMs),
     });
   }
   return waitsMs;
--- a/packages/routing/src/PrefillTimeModel/index.ts
+++ b/packages/routing/src/PrefillTimeModel/index.ts
@@ -41,7 +41,7 @@
  *
  * @example
  * model.observePrefill({ newTokens: 3_000, cachedTokens: 10_000, elapsedMs: 70 });
- * model.readMs(3_000, 10_000);
+ * model.estimatePrefillMs(3_000, 10_000);
  */
 export class PrefillTimeModel {
   readonly #samples: Sample[] = [];
@@ -78,7 +78,7 @@
    * @param cachedTokens - number of tokens before them that are in its cache
    * @returns milliseconds
    */
-  readMs(newTokens: number, cachedTokens: number): number {
+  estimatePrefillMs(newTokens: number, cachedTokens: number): number {
     const [fixedMs = 0, msPerThousandTokens = 0, msPerMillionPairs = 0] = this.#coefficients;
     const [, thousandsOfTokens = 0, millionsOfPairs = 0] = prefillFactors(newTokens, cachedTokens);
     return fixedMs + thousandsOfTokens * msPerThousandTokens + millionsOfPairs * msPerMillionPairs;
--- a/packages/routing/src/PrefillTimeModel/test.ts
+++ b/packages/routing/src/PrefillTimeModel/test.ts
@@ -46,7 +46,7 @@
       [4_000, 6_000],
     ] as const) {
       const truth = truePrefillMs(kind, newTokens, cachedTokens);
-      t.true(Math.abs(model.readMs(newTokens, cachedTokens) - truth) < 0.15 * truth);
+      t.true(Math.abs(model.estimatePrefillMs(newTokens, cachedTokens) - truth) < 0.15 * truth);
     }
   });
 }
@@ -60,10 +60,10 @@
   observeSamples(model, first, createRandom(1));
   observeSamples(model, second, createRandom(2), 400);
   const truth = truePrefillMs(second, 3_000, 12_000);
-  t.true(Math.abs(model.readMs(3_000, 12_000) - truth) < 0.15 * truth);
+  t.true(Math.abs(model.estimatePrefillMs(3_000, 12_000) - truth) < 0.15 * truth);
 });
 
 test('returns plausible estimates without samples', (t) => {
   const model = new PrefillTimeModel();
-  t.true(model.readMs(6_400, 0) > 50 && model.readMs(6_400, 0) < 250);
+  t.true(model.estimatePrefillMs(6_400, 0) > 50 && model.estimatePrefillMs(6_400, 0) < 250);
 });
--- a/packages/routing/src/UpstreamRegistry/index.ts
+++ b/packages/routing/src/UpstreamRegistry/index.ts
@@ -50,7 +50,7 @@
   listed: ListedInstance;
   readonly upstream: Upstream;
   /** Requests started minus ended since the last report was measured. */
-  readonly sent: InFlightDelta;
+  readonly inFlightDelta: InFlightDelta;
   /** Stops the polling; aborted when the entry is removed. */
   readonly stop: AbortController;
   polling: Promise<void>;
@@ -230,7 +230,7 @@
     return {
       listed,
       upstream,
-      sent: new InFlightDelta(),
+      inFlightDelta: new InFlightDelta(),
       stop: new AbortController(),
       polling: Promise.resolve(),
       lastCacheSequence: 0,
@@ -328,7 +328,7 @@
   }
 
   #applyReport(entry: Entry, report: LoadReport): void {
-    const { upstream, sent } = entry;
+    const { upstream, inFlightDelta } = entry;
     const previous = upstream.report;
     upstream.report = report;
     if (previous !== undefined && previous.startedAtMs !== report.startedAtMs) {
@@ -337,13 +337,13 @@
       entry.lastCacheSequence = 0;
     }
     if (report.measuredAtMs !== previous?.measuredAtMs) this.#applyNewReport(entry, report);
-    upstream.inFlightDelta = sent.net;
+    upstream.inFlightDelta = inFlightDelta.net;
     this.#updatePool(entry);
   }
 
-  #applyNewReport({ upstream, sent, refusedAtMs }: Entry, report: LoadReport): void {
+  #applyNewReport({ upstream, inFlightDelta, refusedAtMs }: Entry, report: LoadReport): void {
     const measuredAtMs = this.#toLocalMeasuredAtMs(report);
-    sent.discardCounted(measuredAtMs);
+    inFlightDelta.discardCounted(measuredAtMs);
     if (measuredAtMs > refusedAtMs) upstream.isSuspect = false;
     const received = {
       report,
@@ -352,7 +352,7 @@
       instances: Math.max(1, this.#options.instanceCount?.() ?? this.#liveInstances.length),
     };
     upstream.limit.applyReport(received, upstream.inFlightRequests);
-    const ownRequestsAtReport = upstream.inFlightRequests - sent.net;
+    const ownRequestsAtReport = upstream.inFlightRequests - inFlightDelta.net;
     const requests = report.runningRequests + report.waitingRequests;
     // The report is used until the next one arrives, so half an interval is its additional mean age.
     const ageMs = received.receivedAtMs - measuredAtMs + this.#options.loadIntervalMs / 2;
@@ -468,9 +468,9 @@
   }
 
   #recordChange(by: 1 | -1): void {
-    const { upstream, sent } = this.#entry;
-    sent.record(by, this.#context.clock.wallMs());
-    upstream.inFlightDelta = sent.net;
+    const { upstream, inFlightDelta } = this.#entry;
+    inFlightDelta.record(by, this.#context.clock.wallMs());
+    upstream.inFlightDelta = inFlightDelta.net;
     this.#context.pool.update(upstream);
   }
 }
--- a/packages/routing/src/placePrompt/test.ts
+++ b/packages/routing/src/placePrompt/test.ts
@@ -30,8 +30,8 @@
     // the rank costs, which are at most 11 times 5 ms.
     const leastBacklogMs = Math.min(...engines.map((one) => one.backlogMs));
     t.true(backlogMs <= leastBacklogMs + prompt.sharedPartsMs + 60);
-    const readMs = 50 + (placement.holder === undefined ? 0 : prompt.sharedPartsMs);
-    backlogs.set(id, backlogMs + readMs);
+    const prefillMs = 50 + (placement.holder === undefined ? 0 : prompt.sharedPartsMs);
+    backlogs.set(id, backlogMs + prefillMs);
     holders.add(id);
     // The first requests stay at the same engine.
     if (request < 3) t.is<string | undefined, string | undefined>(id, first);
--- a/packages/standins/src/LocalLoanNetwork/index.ts
+++ b/packages/standins/src/LocalLoanNetwork/index.ts
@@ -12,7 +12,7 @@
   clock: Clock;
   random: Random;
   /** Ratio of requests, and of responses, that are lost. */
-  lostShare?: number;
+  lossRatio?: number;
   /** One-way delay of a message, in milliseconds. */
   delayMs?: number;
   /** Whether an instance is connected to the network; by default all are. */
@@ -27,7 +27,7 @@
   sentRequests = 0;
 
   constructor(options: LocalLoanNetworkOptions) {
-    this.#options = { lostShare: 0, delayMs: 1, isConnected: () => true, ...options };
+    this.#options = { lossRatio: 0, delayMs: 1, isConnected: () => true, ...options };
   }
 
   /** Creates the peer client of one instance. */
@@ -82,7 +82,7 @@
   }
 
   #isLost(): boolean {
-    return this.#options.random() < this.#options.lostShare;
+    return this.#options.random() < this.#options.lossRatio;
   }
 }
 
--- a/packages/standins/src/MemoryFleet/index.ts
+++ b/packages/standins/src/MemoryFleet/index.ts
@@ -7,8 +7,8 @@
   type FleetPeer,
 } from '@acaciacrank/fleet';
 
-/** Options of {@link MemoryFleet}. */
-export interface MemoryFleetOptions {
+/** Options of {@link MemoryNetwork}. */
+export interface MemoryNetworkOptions {
   clock: Clock;
   /** Seed of the random message losses. */
   seed?: number;
@@ -30,7 +30,7 @@
  * In-memory network between instances, on virtual time. Simulates delays, message loss, partitions, and
  * links that are silent in one direction.
  */
-export class MemoryFleet {
+export class MemoryNetwork {
   /** One-way delay between two instances, in milliseconds. */
   delayMs: number;
   readonly #clock: Clock;
@@ -41,7 +41,7 @@
   readonly #isolated = new Set<string>();
   #groups = new Map<string, number>();
 
-  constructor(options: MemoryFleetOptions) {
+  constructor(options: MemoryNetworkOptions) {
     this.#clock = options.clock;
     this.#random = createRandom(options.seed ?? 1);
     this.delayMs = options.delayMs ?? 1;
@@ -55,20 +55,20 @@
   }
 
   /** Sets the ratio of messages lost in one direction; 1 makes the link silent, 0 restores it. */
-  lose(from: string, to: string, ratio: number): void {
+  setLossRatio(from: string, to: string, ratio: number): void {
     this.#lossRatios.set(`${from}>${to}`, ratio);
   }
 
   /** Makes a link silent in both directions. */
   silence(a: string, b: string): void {
-    this.lose(a, b, 1);
-    this.lose(b, a, 1);
+    this.setLossRatio(a, b, 1);
+    this.setLossRatio(b, a, 1);
   }
 
   /** Ends message loss on a link in both directions. */
   restoreLink(a: string, b: string): void {
-    this.lose(a, b, 0);
-    this.lose(b, a, 0);
+    this.setLossRatio(a, b, 0);
+    this.setLossRatio(b, a, 0);
   }
 
   /** Lets only instances of the same group reach each other; an instance in no group belongs to the first. */
@@ -124,10 +124,10 @@
     receivedBytes: 0,
     lostMessages: 0,
   };
-  readonly #fleet: MemoryFleet;
+  readonly #fleet: MemoryNetwork;
   #isClosed = false;
 
-  constructor(fleet: MemoryFleet, id: InstanceId) {
+  constructor(fleet: MemoryNetwork, id: InstanceId) {
     super();
     this.#fleet = fleet;
     this.id = id;
--- a/packages/standins/src/MemoryFleet/test.ts
+++ b/packages/standins/src/MemoryFleet/test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import { ManualClock, type InstanceId } from '@acaciacrank/base';
 import { FleetRpc } from '@acaciacrank/fleet';
-import { MemoryFleet } from './index.js';
+import { MemoryNetwork } from './index.js';
 
 const [a, b, c] = ['a', 'b', 'c'] as [InstanceId, InstanceId, InstanceId];
 
 function openThree() {
   const clock = new ManualClock();
-  const network = new MemoryFleet({ clock, delayMs: 5 });
+  const network = new MemoryNetwork({ clock, delayMs: 5 });
   const [first, second, third] = [a, b, c].map(
     (id) => new FleetRpc({ links: network.linksFor(id), clock }),
   ) as [FleetRpc, FleetRpc, FleetRpc];
@@ -42,7 +42,7 @@
 
 test('a link that is silent in one direction still delivers in the other', async (t) => {
   const { clock, network, first } = openThree();
-  network.lose(b, a, 1);
+  network.setLossRatio(b, a, 1);
   const pending = clock.runUntil(first.ask(b, { kind: 'probe', target: c }));
   await t.throwsAsync(pending);
   network.restoreLink(a, b);
--- a/packages/standins/src/StandinControl/index.ts
+++ b/packages/standins/src/StandinControl/index.ts
@@ -29,11 +29,11 @@
 /** Control interface of a fake engine: its models, adapters and role, and the orders that change them. */
 export class StandinControl {
   /** Executed orders, oldest first. */
-  readonly acted: ExecutedOrder[] = [];
+  readonly executedOrders: ExecutedOrder[] = [];
   /** Orders that were refused because of an outdated fencing number. */
-  readonly refused: OrderRequest[] = [];
+  readonly refusedOrders: OrderRequest[] = [];
   /** Number of upcoming orders that are executed but whose response is lost. */
-  answersToLose = 0;
+  responsesToLose = 0;
   /** Retry delay with which orders are refused as rate-limited, in milliseconds; undefined accepts them. */
   rateLimitedForMs: number | undefined;
   readonly #options: Required<StandinControlOptions>;
@@ -75,17 +75,17 @@
   handleOrder(request: OrderRequest): OrderOutcome {
     const { fencingNumber, order } = request;
     if (this.#options.checksFencing && fencingNumber < this.#highestFencingNumber) {
-      this.refused.push(request);
+      this.refusedOrders.push(request);
       return { kind: 'stale' };
     }
     this.#highestFencingNumber = Math.max(this.#highestFencingNumber, fencingNumber);
     if (this.rateLimitedForMs !== undefined) {
       return { kind: 'rateLimited', retryAfterMs: this.rateLimitedForMs };
     }
-    this.acted.push({ order, fencingNumber, atMs: this.#options.clock.monotonicMs() });
+    this.executedOrders.push({ order, fencingNumber, atMs: this.#options.clock.monotonicMs() });
     this.#apply(order);
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
+    if (this.responsesToLose > 0) {
+      this.responsesToLose -= 1;
       throw new Error('simulated loss of the response');
     }
     return { kind: 'taken' };
--- a/packages/standins/src/_lib/FaultyUpstreams/index.ts
+++ b/packages/standins/src/_lib/FaultyUpstreams/index.ts
@@ -115,7 +115,7 @@
 }
 
 class FaultyEngineClient extends EngineClient {
-  override readonly tokenGaps: AdaptiveTimeout;
+  override readonly tokenGapTimeout: AdaptiveTimeout;
   readonly #parent: FaultyUpstreams;
   readonly #engineId: string;
   readonly #wrapped: EngineClient;
@@ -125,7 +125,7 @@
     this.#parent = parent;
     this.#engineId = engineId;
     this.#wrapped = wrapped;
-    this.tokenGaps = parent.makeTokenGaps?.() ?? wrapped.tokenGaps;
+    this.tokenGapTimeout = parent.makeTokenGaps?.() ?? wrapped.tokenGapTimeout;
   }
 
   override generate(request: GenerateRequest, signal: AbortSignal): AsyncIterable<EngineFrame> {
--- a/packages/standins/src/_lib/FleetSimulation/index.ts
+++ b/packages/standins/src/_lib/FleetSimulation/index.ts
@@ -12,7 +12,7 @@
 } from '@acaciacrank/base';
 import { InstanceFleet } from '@acaciacrank/forwarding';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { MemoryFleet, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
 
 /** One process run of an instance. */
 export interface FleetNode {
@@ -30,7 +30,7 @@
 export class FleetSimulation {
   readonly clock = new ManualClock();
   readonly platform = new MemoryPlatform(this.clock);
-  readonly network: MemoryFleet;
+  readonly network: MemoryNetwork;
   readonly nodes = new Map<string, FleetNode>();
   readonly #random: () => number;
   #runs = 0;
@@ -38,7 +38,7 @@
   /** @param ids - instances to start immediately */
   constructor(seed: number, ids: readonly string[]) {
     this.#random = createRandom(seed);
-    this.network = new MemoryFleet({ clock: this.clock, seed });
+    this.network = new MemoryNetwork({ clock: this.clock, seed });
     for (const id of ids) this.start(id);
   }
 
@@ -72,7 +72,7 @@
       ...listener,
     });
     void fleet.run();
-    if (isServing) fleet.serve();
+    if (isServing) fleet.declareLive();
     const node = { fleet, links, store, metrics, versions };
     this.nodes.set(id, node);
     return node;
@@ -98,7 +98,7 @@
 
   /** Ids of the other instances that an instance lists as usable to callers, sorted. */
   listedBy(id: string): string[] {
-    const usable = this.nodes.get(id)?.fleet.usable ?? [];
+    const usable = this.nodes.get(id)?.fleet.usablePeers ?? [];
     return usable.map(({ instanceId }) => instanceId as string).sort();
   }
 
--- a/packages/standins/src/_lib/MemberFleet/index.ts
+++ b/packages/standins/src/_lib/MemberFleet/index.ts
@@ -8,7 +8,7 @@
 } from '@acaciacrank/base';
 import { ConfigurationGossip, FleetRpc, Membership, type Member } from '@acaciacrank/fleet';
 import type { ListedInstance } from '@acaciacrank/store';
-import { MemoryFleet, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
 
 /** An instance reduced to its membership and the gossip of its configuration. */
 export interface MemberNode {
@@ -17,10 +17,10 @@
   readonly links: MemoryFleetLinks;
   readonly metrics: Metrics;
   /** Ids of the members that this instance declared dead, one entry each time. */
-  readonly givenUp: InstanceId[];
+  readonly declaredDead: InstanceId[];
   /** Every configuration version that this instance applied, the one in force last. */
   readonly versions: number[];
-  readonly spread: ConfigurationGossip;
+  readonly gossip: ConfigurationGossip;
 }
 
 const silentLog = createLog('members', { level: 'fatal' });
@@ -28,7 +28,7 @@
 /** A fleet of instances reduced to their membership and configuration gossip, in virtual time. */
 export class MemberFleet {
   readonly clock = new ManualClock();
-  readonly network: MemoryFleet;
+  readonly network: MemoryNetwork;
   readonly nodes = new Map<string, MemberNode>();
   /** The platform's instance list. It never changes by itself, like a list with unbounded lag. */
   list: ListedInstance[];
@@ -42,7 +42,7 @@
   constructor(size: number, seed = 1, manifestBytes = 0) {
     this.#seed = seed;
     this.#manifestBytes = manifestBytes;
-    this.network = new MemoryFleet({ clock: this.clock, seed });
+    this.network = new MemoryNetwork({ clock: this.clock, seed });
     const ids = Array.from({ length: size }, (_, index) => `i${index + 1}`);
     this.list = ids.map(createListedInstance);
     for (const id of ids) this.start(id);
@@ -68,22 +68,22 @@
       const offeredVersion = (manifest as { version: number }).version;
       if (offeredVersion <= version()) return false;
       versions.push(offeredVersion);
-      spread.announce(offeredVersion);
+      gossip.announce(offeredVersion);
       return true;
     };
     const padding = 'x'.repeat(this.#manifestBytes);
     const manifest = () => ({ version: version(), padding });
     const configuration = { version, offer, manifest, objectText: () => undefined };
-    const spread = new ConfigurationGossip({ ...options, membership, configuration });
-    const givenUp: InstanceId[] = [];
-    const node = { id: instanceId, membership, links, metrics, givenUp, versions, spread };
+    const gossip = new ConfigurationGossip({ ...options, membership, configuration });
+    const declaredDead: InstanceId[] = [];
+    const node = { id: instanceId, membership, links, metrics, declaredDead, versions, gossip };
     membership.start({ url, fleetUrl });
     membership.declareLive();
     membership.applyInstanceList(this.list);
     const deadIds = new Set<InstanceId>();
     void membership.members.changes.forEach((members) => {
       for (const { id: other, state } of members) {
-        if (state === 'dead' && !deadIds.has(other)) givenUp.push(other);
+        if (state === 'dead' && !deadIds.has(other)) declaredDead.push(other);
         if (state === 'dead') deadIds.add(other);
         else deadIds.delete(other);
       }
@@ -99,15 +99,15 @@
     this.#sentByStopped.messages += node.links.traffic.sentMessages;
     this.#sentByStopped.bytes += node.links.traffic.sentBytes;
     node.links[Symbol.dispose]();
-    node.spread[Symbol.dispose]();
+    node.gossip[Symbol.dispose]();
     void node.membership[Symbol.asyncDispose]();
     this.nodes.delete(id);
   }
 
   /** Applies a version at one instance, as if only that one could reach the store. */
-  accept(id: string, version: number): void {
+  applyVersion(id: string, version: number): void {
     this.nodes.get(id)?.versions.push(version);
-    this.nodes.get(id)?.spread.announce(version);
+    this.nodes.get(id)?.gossip.announce(version);
   }
 
   /** Whether a version is in force at every instance. */
@@ -144,7 +144,7 @@
   }
 
   /** Whether every running instance sees every other one as live. */
-  get isWhole(): boolean {
+  get isConverged(): boolean {
     const ids = [...this.nodes.keys()];
     return ids.every((id) => this.viewsOf(id).every((member) => member?.state === 'live'));
   }
@@ -164,12 +164,12 @@
   }
 
   /** Ids of the members that any instance declared dead. */
-  givenUp(): InstanceId[] {
-    return [...this.nodes.values()].flatMap((node) => node.givenUp);
+  declaredDead(): InstanceId[] {
+    return [...this.nodes.values()].flatMap((node) => node.declaredDead);
   }
 
   /** The sum of a counter over all running instances. */
-  counted(metric: string): number {
+  sumCounter(metric: string): number {
     return [...this.nodes.values()].reduce((sum, { metrics }) => sum + metrics.counter(metric), 0);
   }
 }
--- a/packages/standins/src/_lib/StreamLoad/index.ts
+++ b/packages/standins/src/_lib/StreamLoad/index.ts
@@ -78,7 +78,7 @@
   }
 
   /** Creates a call with a prompt and an idempotency key of its own. */
-  callOf(index: number): ChatCall {
+  createCall(index: number): ChatCall {
     return {
       accountKey: 'secret',
       budgetId: 'one-2026' as BudgetId,
--- a/packages/standins/src/_lib/prepaidSimulation/index.ts
+++ b/packages/standins/src/_lib/prepaidSimulation/index.ts
@@ -63,7 +63,7 @@
   const network = new LocalLoanNetwork({
     clock,
     random,
-    lostShare: messageLossProbability,
+    lossRatio: messageLossProbability,
     isConnected: (id) => !isolated.has(id),
   });
   return { clock, platform, random, network, isolated, holders: [], prepaidTokens, spentTokens: 0 };
--- a/packages/standins/src/_lib/runNamed/index.ts
+++ b/packages/standins/src/_lib/runNamed/index.ts
@@ -16,7 +16,7 @@
 }
 
 /** The function that a module exports as `run` to be runnable by name. */
-export type NamedRun = (options: RunOptions) => Promise<readonly ResultRow[]>;
+export type RunFunction = (options: RunOptions) => Promise<readonly ResultRow[]>;
 
 /**
  * Runs the program.
@@ -24,7 +24,7 @@
  * @param program - name of the program, for the help text
  * @param folder - URL of the folder that contains one folder per module
  */
-export async function runNamed(program: string, folder: URL): Promise<void> {
+export async function runModuleByName(program: string, folder: URL): Promise<void> {
   const names = existsSync(folder) ? readdirSync(fileURLToPath(folder)) : [];
   const cli = cac(program);
   cli.usage(`<name> [--seed N] [--json]\n\nNames: ${names.join(', ') || '(none)'}`);
@@ -39,7 +39,7 @@
     process.exitCode = 2;
     return;
   }
-  const { run } = (await import(new URL(`${name}/index.js`, folder).href)) as { run: NamedRun };
+  const { run } = (await import(new URL(`${name}/index.js`, folder).href)) as { run: RunFunction };
   const rows = await run({ seed: Number(options.seed), flags: options });
   printTable(rows, { isJson: options.json === true });
 }
--- a/packages/standins/src/_lib/serveJson/index.ts
+++ b/packages/standins/src/_lib/serveJson/index.ts
@@ -8,7 +8,7 @@
 export type Route = (request: IncomingMessage, response: ServerResponse, url: URL) => Promise<void>;
 
 /** Creates an HTTP server, not yet listening, that passes every request to the route. */
-export function serveJson(route: Route): Server {
+export function createJsonServer(route: Route): Server {
   return createServer((request, response) => {
     const url = new URL(request.url ?? '/', 'http://standin');
     route(request, response, url).catch((thrown: unknown) => {
@@ -38,7 +38,7 @@
 }
 
 /** Creates a signal that aborts when the connection of a response closes. */
-export function closedSignal(response: ServerResponse): AbortSignal {
+export function createCloseSignal(response: ServerResponse): AbortSignal {
   const abort = new AbortController();
   response.once('close', () => {
     abort.abort();
--- a/packages/standins/src/benches/configuration/index.ts
+++ b/packages/standins/src/benches/configuration/index.ts
@@ -11,7 +11,7 @@
   objectsOf,
 } from '@acaciacrank/operators';
 import { makeDocument } from '../../configuration/_lib/configurationDocument/index.js';
-import type { NamedRun, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 import { roundHundredths } from '../_lib/roundHundredths/index.js';
 
@@ -25,7 +25,7 @@
 const clock = new SystemClock();
 
 /** Measures each configuration size. */
-export const run: NamedRun = async ({ seed }: RunOptions) => {
+export const run: RunFunction = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
   for (const size of sizes) rows.push(await measure(size, createRandom(seed)));
   return rows;
--- a/packages/standins/src/benches/fleet/index.ts
+++ b/packages/standins/src/benches/fleet/index.ts
@@ -68,7 +68,7 @@
     await clock.advance(nextMs - clock.monotonicMs());
     if (nextMs === nextVersionMs) {
       version += 1;
-      fleet.accept('i1', version);
+      fleet.applyVersion('i1', version);
       nextVersionMs += configurationEveryMs;
     } else if (nextMs === nextRestartMs) {
       fleet.restart('i2');
@@ -96,7 +96,7 @@
     const before = readTotals(fleet);
     await fleet.clock.advance(millisecondsInSecond);
     peakBytesPerSecond = Math.max(peakBytesPerSecond, maxSentWireBytes(before, readTotals(fleet)));
-    if (fleet.isWhole) healedMs ??= (second + 1) * millisecondsInSecond;
+    if (fleet.isConverged) healedMs ??= (second + 1) * millisecondsInSecond;
   }
   const meanBytesPerSecond = maxSentWireBytes(start, readTotals(fleet)) / healSeconds;
   return {
@@ -120,7 +120,7 @@
 /** Measures one fleet size. */
 export async function measureFleet(instances: number, seed: number): Promise<FleetCost> {
   const fleet = new MemberFleet(instances, seed, manifestBytes);
-  await fleet.timeUntil(() => fleet.isWhole, maxSettleMs);
+  await fleet.timeUntil(() => fleet.isConverged, maxSettleMs);
   await fleet.clock.advance(maxSettleMs / 2);
   const before = fleet.sent();
   const cpuBefore = process.cpuUsage();
--- a/packages/standins/src/benches/routing/index.ts
+++ b/packages/standins/src/benches/routing/index.ts
@@ -99,7 +99,7 @@
       state: 'live',
     });
   }
-  const healthyLink = { isDown: false, delayMs: 0, answersToLose: 0 };
+  const healthyLink = { isDown: false, delayMs: 0, responsesToLose: 0 };
   const list = new MemoryInstanceList(platform, healthyLink);
   const registry = new UpstreamRegistry({ list, clients, clock });
   await clock.runUntil(registry.start());
--- a/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
+++ b/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
@@ -53,7 +53,7 @@
   }
 
   /** Puts an object into the cache that serves stale reads. */
-  remember(stored: StoredObject): void {
+  addToCache(stored: StoredObject): void {
     this.#cache.set(stored.key, stored);
   }
 
--- a/packages/standins/src/configuration/_lib/configurationDocument/index.ts
+++ b/packages/standins/src/configuration/_lib/configurationDocument/index.ts
@@ -53,7 +53,7 @@
 }
 
 /** Creates the text of a small document; tests tell versions apart by the opening tokens of a budget. */
-export function markedText(openingTokens: number, environment = 'kapiti'): string {
+export function createDocumentText(openingTokens: number, environment = 'kapiti'): string {
   return `environment: ${environment}
 classes:
   - { name: review, firstTokenDeadlineMs: 60000, totalDeadlineMs: 600000 }
@@ -71,7 +71,7 @@
 `;
 }
 
-/** The opening tokens passed to {@link markedText} for the document that an index was built from. */
+/** The opening tokens passed to {@link createDocumentText} for the document that an index was built from. */
 export function openingTokensOf(index: {
   budgetOf(account: never, budget: string): { openingTokens: number };
 }): number {
--- a/packages/standins/src/configuration/acceptance/test.ts
+++ b/packages/standins/src/configuration/acceptance/test.ts
@@ -12,7 +12,7 @@
   type Acceptance,
 } from '@acaciacrank/operators';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { markedText, openingTokensOf } from '../_lib/configurationDocument/index.js';
+import { createDocumentText, openingTokensOf } from '../_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../_lib/FaultyObjectStore/index.js';
 
 function setUp() {
@@ -20,7 +20,7 @@
   const platform = new MemoryPlatform(clock);
   const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
   const accept = (store: FaultyObjectStore, openingTokens: number, expectedVersion?: number) =>
-    acceptDocument(store, clock, markedText(openingTokens), {
+    acceptDocument(store, clock, createDocumentText(openingTokens), {
       random: createRandom(openingTokens),
       expectedVersion,
     });
@@ -69,7 +69,7 @@
   const error = await expectRouterError(t, clock.runUntil(accept(store, 30, 1)));
   t.is(error.kind, 'conflict');
   t.regex(error.message, /Changed since version 1:\n~ account porirua budget/);
-  const text = `basedOnVersion: 1\n${markedText(30)}`;
+  const text = `basedOnVersion: 1\n${createDocumentText(30)}`;
   t.is(
     (await expectRouterError(t, clock.runUntil(acceptDocument(store, clock, text)))).kind,
     'conflict',
@@ -183,9 +183,9 @@
   const trial = trialEnvironmentOf('kapiti');
   const trialStore = environmentStore(store, trial);
   const promote = (openingTokens: number) =>
-    clock.runUntil(promoteFromTrial(store, clock, markedText(openingTokens)));
+    clock.runUntil(promoteFromTrial(store, clock, createDocumentText(openingTokens)));
   t.is((await expectRouterError(t, promote(10))).kind, 'notTried');
-  await acceptDocument(trialStore, clock, markedText(10), { environment: trial });
+  await acceptDocument(trialStore, clock, createDocumentText(10), { environment: trial });
   t.is((await expectRouterError(t, promote(10))).kind, 'notTried');
   const watcher = new ConfigurationWatcher({ store: trialStore, clock, environment: trial });
   await clock.runUntil(watcher.start());
--- a/packages/standins/src/configuration/garbage/test.ts
+++ b/packages/standins/src/configuration/garbage/test.ts
@@ -39,7 +39,7 @@
   const latch = new AbortController();
   const opened = once(latch.signal, 'abort');
   return {
-    opened: opened,
+    opened,
     open: () => {
       latch.abort();
     },
--- a/packages/standins/src/configuration/watcher/test.ts
+++ b/packages/standins/src/configuration/watcher/test.ts
@@ -10,7 +10,11 @@
   type ConfigurationWatcherOptions,
 } from '@acaciacrank/operators';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { makeDocument, markedText, openingTokensOf } from '../_lib/configurationDocument/index.js';
+import {
+  makeDocument,
+  createDocumentText,
+  openingTokensOf,
+} from '../_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../_lib/FaultyObjectStore/index.js';
 
 const inForceWithinMs = 10_000;
@@ -35,7 +39,7 @@
   const openStore = () => new FaultyObjectStore(new MemoryObjectStore(platform, clock));
   const operator = openStore();
   const accept = (openingTokens: number) =>
-    clock.runUntil(acceptDocument(operator, clock, markedText(openingTokens)));
+    clock.runUntil(acceptDocument(operator, clock, createDocumentText(openingTokens)));
   const createWatcher = (
     store: FaultyObjectStore,
     options: Partial<ConfigurationWatcherOptions> = {},
--- a/packages/standins/src/createEngineServer/index.ts
+++ b/packages/standins/src/createEngineServer/index.ts
@@ -1,7 +1,12 @@
 import { RouterError, type RequestId } from '@acaciacrank/base';
 import type { EngineFrame, GenerateRequest, OrderRequest } from '@acaciacrank/upstreams';
 import type { Server, ServerResponse } from 'node:http';
-import { closedSignal, readText, sendJson, serveJson } from '../_lib/serveJson/index.js';
+import {
+  createCloseSignal,
+  readText,
+  sendJson,
+  createJsonServer,
+} from '../_lib/serveJson/index.js';
 import type { StandinEngine } from '../StandinEngine/index.js';
 
 /**
@@ -14,18 +19,18 @@
  * createEngineServer(engine).listen(7101, '127.0.0.1');
  */
 export function createEngineServer(engine: StandinEngine): Server {
-  return serveJson(async (request, response, url) => {
+  return createJsonServer(async (request, response, url) => {
     const [, , kind, id = '', detail] = url.pathname.split('/');
     const requestId = decodeURIComponent(id) as RequestId;
     if (url.pathname === '/v1/generate') {
       const generate = JSON.parse(await readText(request)) as GenerateRequest;
       engine.submit(generate);
-      await sendFrames(response, engine.frames(generate.requestId, 0, closedSignal(response)));
+      await sendFrames(response, engine.frames(generate.requestId, 0, createCloseSignal(response)));
     } else if (kind === 'streams' && detail === 'usage') {
       sendJson(response, 200, engine.records.get(requestId));
     } else if (kind === 'streams' && request.method === 'GET') {
       const offset = Number(url.searchParams.get('offset'));
-      await sendFrames(response, engine.frames(requestId, offset, closedSignal(response)));
+      await sendFrames(response, engine.frames(requestId, offset, createCloseSignal(response)));
     } else if (kind === 'streams' && request.method === 'DELETE') {
       engine.cancel(requestId);
       sendJson(response, 200, {});
--- a/packages/standins/src/createLocalFleet/index.ts
+++ b/packages/standins/src/createLocalFleet/index.ts
@@ -11,7 +11,7 @@
 import { Instance, type InstanceOptions } from '@acaciacrank/router';
 import { Writable } from 'node:stream';
 import { LocalUpstreamClients } from '../LocalUpstreamClients/index.js';
-import { MemoryFleet, type MemoryFleetLinks } from '../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../MemoryFleet/index.js';
 import { MemoryInstanceList, MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import { StandinEngine, type StandinEngineOptions } from '../StandinEngine/index.js';
 import { StandinService } from '../StandinService/index.js';
@@ -48,7 +48,7 @@
   readonly clock: ManualClock;
   readonly platform: MemoryPlatform;
   /** The network between instances; simulates delays, partitions and silent links. */
-  readonly network: MemoryFleet;
+  readonly network: MemoryNetwork;
   readonly clients: LocalUpstreamClients;
   readonly instances: LocalInstance[];
   /** Starts an additional instance, or a replacement for one that has stopped. */
@@ -77,7 +77,7 @@
 export async function createLocalFleet(options: CreateLocalFleetOptions): Promise<LocalFleet> {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
-  const network = new MemoryFleet({ clock, seed: options.seed ?? 1 });
+  const network = new MemoryNetwork({ clock, seed: options.seed ?? 1 });
   const clients = new LocalUpstreamClients();
   const operatorStore = new MemoryObjectStore(platform, clock);
   const { environment } = await acceptAndParseDocument(operatorStore, clock, options.document);
--- a/packages/standins/src/createLocalFleet/test.ts
+++ b/packages/standins/src/createLocalFleet/test.ts
@@ -99,9 +99,9 @@
   const [first] = fleet.instances as [LocalInstance];
   const running = runChat(first, chatCall('k1'));
   await fleet.clock.advance(10);
-  first.store.link.answersToLose = 1;
+  first.store.link.responsesToLose = 1;
   const answer = await fleet.clock.runUntil(running);
-  t.is(first.store.link.answersToLose, 0);
+  t.is(first.store.link.responsesToLose, 0);
   t.false(answer.final?.isRepeat);
   const status = await fleet.clock.runUntil(readBudget(first.store, budget));
   t.is(answer.final?.billedTokens, status.settledTokens);
--- a/packages/standins/src/createServiceServer/index.ts
+++ b/packages/standins/src/createServiceServer/index.ts
@@ -1,6 +1,6 @@
 import type { RequestId } from '@acaciacrank/base';
 import type { Server } from 'node:http';
-import { readText, sendJson, serveJson } from '../_lib/serveJson/index.js';
+import { readText, sendJson, createJsonServer } from '../_lib/serveJson/index.js';
 import type { StandinService } from '../StandinService/index.js';
 
 /**
@@ -13,7 +13,7 @@
  * createServiceServer(service).listen(7201, '127.0.0.1');
  */
 export function createServiceServer(service: StandinService): Server {
-  return serveJson(async (request, response, url) => {
+  return createJsonServer(async (request, response, url) => {
     if (url.pathname === '/load') {
       sendJson(response, 200, service.load());
       return;
--- a/packages/standins/src/experiments/configuration-size/index.ts
+++ b/packages/standins/src/experiments/configuration-size/index.ts
@@ -17,7 +17,7 @@
 } from '../../configuration/_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../../configuration/_lib/FaultyObjectStore/index.js';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import type { NamedRun, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 const sizes: readonly DocumentSize[] = [
@@ -76,7 +76,7 @@
 }
 
 /** Measures each environment size, and the middle one with each leaf size. */
-export const run: NamedRun = async ({ seed }: RunOptions) => {
+export const run: RunFunction = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
   for (const size of sizes) rows.push(...(await measure(size, maxLeafBytes, seed)));
   const [, middle] = sizes;
--- a/packages/standins/src/experiments/configuration-spread/index.ts
+++ b/packages/standins/src/experiments/configuration-spread/index.ts
@@ -5,10 +5,10 @@
 import { acceptDocument, manifestKey } from '@acaciacrank/operators';
 import type { StoredObject } from '@acaciacrank/store';
 import { FaultyObjectStore } from '../../configuration/_lib/FaultyObjectStore/index.js';
-import { markedText } from '../../configuration/_lib/configurationDocument/index.js';
+import { createDocumentText } from '../../configuration/_lib/configurationDocument/index.js';
 import { createLocalFleet, type LocalFleet } from '../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
-import type { NamedRun, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 const instanceCount = 5;
@@ -107,7 +107,7 @@
 };
 
 /** Runs each fault case. */
-export const run: NamedRun = async ({ seed }: RunOptions) => {
+export const run: RunFunction = async ({ seed }: RunOptions) => {
   const rows: ResultRow[] = [];
   for (const [name, runCase] of Object.entries(cases))
     rows.push(await measure(name, runCase, seed));
@@ -149,14 +149,14 @@
   const stores: FaultyObjectStore[] = [];
   let initialCache: StoredObject | undefined;
   const fleet = await createLocalFleet({
-    document: markedText(1),
+    document: createDocumentText(1),
     seed,
     instances: instanceCount,
     wrap: (options) => {
       const store = new FaultyObjectStore(options.store);
       stores.push(store);
       if (initialCache !== undefined) {
-        store.remember(initialCache);
+        store.addToCache(initialCache);
         store.faults.isStale = true;
       }
       return { ...options, store };
@@ -168,7 +168,7 @@
     documentNumber += 1;
     const acceptedMs = fleet.clock.monotonicMs();
     await fleet.clock.runUntil(
-      acceptDocument(operatorStore, fleet.clock, markedText(documentNumber)),
+      acceptDocument(operatorStore, fleet.clock, createDocumentText(documentNumber)),
     );
     return acceptedMs;
   };
--- a/packages/standins/src/experiments/leaving/index.ts
+++ b/packages/standins/src/experiments/leaving/index.ts
@@ -76,7 +76,7 @@
   reconnectShare: number,
 ): Promise<number> {
   const { clock } = load.fleet;
-  const call = load.callOf(index);
+  const call = load.createCall(index);
   const [disconnectDraw, disconnectTimeDraw, reconnectDraw, reconnectDelayDraw] = [1, 2, 3, 4].map(
     () => load.random(),
   );
--- a/packages/standins/src/experiments/membership/_lib/configurationScenarios/test.ts
+++ b/packages/standins/src/experiments/membership/_lib/configurationScenarios/test.ts
@@ -12,7 +12,7 @@
 for (const [name, runConfigurationScenario] of Object.entries(configurationScenarios)) {
   test(`a version is in force everywhere within 10 s: ${name}`, async (t) => {
     const fleet = new MemberFleet(12);
-    await fleet.timeUntil(() => fleet.isWhole, 10_000);
+    await fleet.timeUntil(() => fleet.isConverged, 10_000);
     const settledMs = await runConfigurationScenario(fleet);
     t.true(settledMs !== undefined && settledMs < 10_000, `${settledMs}`);
     for (const { id, versions } of fleet.nodes.values()) {
--- a/packages/standins/src/experiments/membership/index.ts
+++ b/packages/standins/src/experiments/membership/index.ts
@@ -32,8 +32,8 @@
   return {
     settledMs: settledMs ?? null,
     falseDeaths,
-    suspicions: fleet.counted('membersSuspected'),
-    refutations: fleet.counted('suspicionsRefuted'),
+    suspicions: fleet.sumCounter('membersSuspected'),
+    refutations: fleet.sumCounter('suspicionsRefuted'),
   };
 }
 
@@ -43,50 +43,50 @@
     fleet.crash('i2');
     const isKnown = () => fleet.viewsOf('i2').every((member) => member?.state === 'dead');
     const settledMs = await fleet.timeUntil(isKnown, limitMs);
-    return outcome(fleet, settledMs, fleet.givenUp().filter((id) => id !== 'i2').length);
+    return outcome(fleet, settledMs, fleet.declaredDead().filter((id) => id !== 'i2').length);
   },
   plannedStop: async (fleet) => {
     fleet.nodes.get('i2')?.membership.leave();
     const isKnown = () => fleet.viewsOf('i2').every((member) => member?.state === 'leaving');
     const settledMs = await fleet.timeUntil(isKnown, limitMs);
-    return outcome(fleet, settledMs, fleet.givenUp().length);
+    return outcome(fleet, settledMs, fleet.declaredDead().length);
   },
   silentLink: async (fleet) => {
     const [neighbour] = fleet.nodes.get('i1')?.membership.neighbours ?? [];
     fleet.network.silence('i1', neighbour ?? 'i2');
     await fleet.clock.advance(60_000);
-    return outcome(fleet, 0, fleet.givenUp().length);
+    return outcome(fleet, 0, fleet.declaredDead().length);
   },
   lossyInstance: async (fleet) => {
     for (const id of fleet.nodes.keys()) {
-      fleet.network.lose('i1', id, 0.3);
-      fleet.network.lose(id, 'i1', 0.3);
+      fleet.network.setLossRatio('i1', id, 0.3);
+      fleet.network.setLossRatio(id, 'i1', 0.3);
     }
     await fleet.clock.advance(60_000);
-    return outcome(fleet, 0, fleet.givenUp().length);
+    return outcome(fleet, 0, fleet.declaredDead().length);
   },
   shortPause: async (fleet) => {
     fleet.network.isolate('i2');
     await fleet.clock.advance(2_500);
     fleet.network.isolate('i2', false);
-    const settledMs = await fleet.timeUntil(() => fleet.isWhole, limitMs);
-    return outcome(fleet, settledMs, fleet.givenUp().length);
+    const settledMs = await fleet.timeUntil(() => fleet.isConverged, limitMs);
+    return outcome(fleet, settledMs, fleet.declaredDead().length);
   },
   restart: async (fleet) => {
     fleet.crash('i2');
     await fleet.clock.advance(700);
     const { life } = fleet.start('i2').membership.self;
     const isKnown = () => fleet.viewsOf('i2').every((member) => member?.life === life);
-    const settledMs = await fleet.timeUntil(() => isKnown() && fleet.isWhole, limitMs);
-    return outcome(fleet, settledMs, fleet.givenUp().length);
+    const settledMs = await fleet.timeUntil(() => isKnown() && fleet.isConverged, limitMs);
+    return outcome(fleet, settledMs, fleet.declaredDead().length);
   },
   restartWithClockSetBack: async (fleet) => {
     fleet.crash('i2');
     fleet.clock.jumpWall(-3_600_000);
     const { life } = fleet.start('i2').membership.self;
     const isKnown = () => fleet.viewsOf('i2').every((member) => member?.life === life);
-    const settledMs = await fleet.timeUntil(() => isKnown() && fleet.isWhole, limitMs);
-    return outcome(fleet, settledMs, fleet.givenUp().length);
+    const settledMs = await fleet.timeUntil(() => isKnown() && fleet.isConverged, limitMs);
+    return outcome(fleet, settledMs, fleet.declaredDead().length);
   },
   partitionAndHeal: async (fleet) => {
     const ids = [...fleet.nodes.keys()];
@@ -94,9 +94,11 @@
     fleet.network.partition(...sides);
     await fleet.clock.advance(120_000);
     fleet.network.heal();
-    const settledMs = await fleet.timeUntil(() => fleet.isWhole, limitMs);
-    const sameSideDeaths = [...fleet.nodes.values()].flatMap(({ id, givenUp }) =>
-      givenUp.filter((other) => sides.some((side) => side.includes(id) && side.includes(other))),
+    const settledMs = await fleet.timeUntil(() => fleet.isConverged, limitMs);
+    const sameSideDeaths = [...fleet.nodes.values()].flatMap(({ id, declaredDead }) =>
+      declaredDead.filter((other) =>
+        sides.some((side) => side.includes(id) && side.includes(other)),
+      ),
     );
     return outcome(fleet, settledMs, sameSideDeaths.length);
   },
@@ -117,7 +119,7 @@
   const fleet = new MemberFleet(instances, seed);
   const scenario = failureScenarios[name];
   if (scenario === undefined) throw new Error(`unknown failure scenario: ${name}`);
-  const hasFormed = (await fleet.timeUntil(() => fleet.isWhole, limitMs)) !== undefined;
+  const hasFormed = (await fleet.timeUntil(() => fleet.isConverged, limitMs)) !== undefined;
   if (!hasFormed) throw new Error('membership did not converge within 60 s');
   const result = await scenario(fleet);
   for (const id of [...fleet.nodes.keys()]) fleet.crash(id);
@@ -130,7 +132,7 @@
   seed: number,
 ): Promise<ResultRow> {
   const fleet = new MemberFleet(instances, seed);
-  await fleet.timeUntil(() => fleet.isWhole, limitMs);
+  await fleet.timeUntil(() => fleet.isConverged, limitMs);
   const settledMs = await configurationScenarios[name]?.(fleet);
   for (const id of [...fleet.nodes.keys()]) fleet.crash(id);
   return { ...emptyRow, story: `configuration:${name}`, instances, settledMs: settledMs ?? null };
--- a/packages/standins/src/experiments/membership/test.ts
+++ b/packages/standins/src/experiments/membership/test.ts
@@ -78,7 +78,7 @@
 
 test('during a partition each side sees the other as dead and its own as live', async (t) => {
   const fleet = new MemberFleet(6);
-  await fleet.timeUntil(() => fleet.isWhole, 10_000);
+  await fleet.timeUntil(() => fleet.isConverged, 10_000);
   fleet.network.partition(['i1', 'i2', 'i3'], ['i4', 'i5', 'i6']);
   await fleet.clock.advance(15_000);
   t.deepEqual(
@@ -99,9 +99,9 @@
 // callers anyway, once it has contacted any other instance.
 test('an instance that is not listed becomes known by its own messages', async (t) => {
   const fleet = new MemberFleet(4);
-  await fleet.timeUntil(() => fleet.isWhole, 10_000);
+  await fleet.timeUntil(() => fleet.isConverged, 10_000);
   const unlistedInstance = fleet.start('i9');
-  t.not(await fleet.timeUntil(() => fleet.isWhole, 10_000), undefined);
+  t.not(await fleet.timeUntil(() => fleet.isConverged, 10_000), undefined);
   t.is(unlistedInstance.membership.members.value.length, 4);
   t.false(fleet.view('i1', 'i9')?.isListed);
 });
@@ -112,5 +112,5 @@
   const fleet = new MemberFleet(3);
   await fleet.clock.advance(0.5);
   fleet.start('i4');
-  t.not(await fleet.timeUntil(() => fleet.isWhole, 10_000), undefined);
+  t.not(await fleet.timeUntil(() => fleet.isConverged, 10_000), undefined);
 });
--- a/packages/standins/src/experiments/routing/_lib/runCell/index.ts
+++ b/packages/standins/src/experiments/routing/_lib/runCell/index.ts
@@ -47,7 +47,7 @@
   readonly durationMs: number;
 }
 
-const healthyLink = { isDown: false, delayMs: 0, answersToLose: 0 };
+const healthyLink = { isDown: false, delayMs: 0, responsesToLose: 0 };
 /** Requests that arrive during the warm-up of caches and limits are not measured. */
 const warmUpMs = 3 * millisecondsInSecond;
 /** When the fault is injected. */
--- a/packages/standins/src/experiments/silence/index.ts
+++ b/packages/standins/src/experiments/silence/index.ts
@@ -79,7 +79,7 @@
   if (silenceCase.fault === 'stalls') stallEngines(load);
   const reads: Promise<CallOutcome>[] = [];
   for (let index = 0; index < requestCount; index += 1) {
-    reads.push(load.read({ ...load.callOf(index), maxTokens }));
+    reads.push(load.read({ ...load.createCall(index), maxTokens }));
     await clock.advance(callIntervalMs);
   }
   const outcomes = await clock.runUntil(Promise.all(reads));
--- a/packages/standins/src/failures/engineOrders/test.ts
+++ b/packages/standins/src/failures/engineOrders/test.ts
@@ -36,8 +36,10 @@
   await fleet.clock.advance(30_000);
   t.deepEqual(loadedVersions(fleet), ['v2', 'v2']);
   t.is(orderingInstances(fleet).length, 1);
-  const acted = [...fleet.clients.engines.values()].map(({ control }) => control.acted.length);
-  t.deepEqual(acted, [1, 1]);
+  const orderCounts = [...fleet.clients.engines.values()].map(
+    ({ control }) => control.executedOrders.length,
+  );
+  t.deepEqual(orderCounts, [1, 1]);
 });
 
 test('engines receive no orders if the document specifies none', async (t) => {
--- a/packages/standins/src/failures/fleet/test.ts
+++ b/packages/standins/src/failures/fleet/test.ts
@@ -131,7 +131,7 @@
   simulation.powerOff('c');
   const { fleet } = simulation.start('c', false);
   t.true(await simulation.holdsThroughout(() => !simulation.isListedByAny('c'), 8_000));
-  fleet.serve();
+  fleet.declareLive();
   await simulation.clock.advance(1_500);
   t.true(simulation.isListedByAll('c'));
 });
--- a/packages/standins/src/failures/ledger/test.ts
+++ b/packages/standins/src/failures/ledger/test.ts
@@ -244,7 +244,7 @@
     const instance = this.#instances[step.at];
     if (instance === undefined) return;
     const { link } = instance.store;
-    if (step.kind === 'loseAnswers') link.answersToLose += step.answers;
+    if (step.kind === 'loseAnswers') link.responsesToLose += step.answers;
     if (step.kind === 'cutStore' || step.kind === 'crash') link.isDown = true;
     if (step.kind === 'healStore') link.isDown = false;
     if (step.kind !== 'crash') return;
--- a/packages/standins/src/failures/ledgerBounds/test.ts
+++ b/packages/standins/src/failures/ledgerBounds/test.ts
@@ -72,7 +72,7 @@
   const refused = await t.throwsAsync(clock.runUntil(ledger.reserve(budget, 1)));
   t.like(refused, { kind: 'overloaded', ran: 'notRun' });
   store.link.isDown = false;
-  store.link.answersToLose = 1;
+  store.link.responsesToLose = 1;
   const written = await clock.runUntil(Promise.all(bills));
   t.deepEqual(
     written.map(({ tokens }) => tokens),
--- a/packages/standins/src/failures/orders/test.ts
+++ b/packages/standins/src/failures/orders/test.ts
@@ -95,7 +95,7 @@
       clock,
       metrics,
       lease,
-      rate,
+      rateLimiter: rate,
       engines,
     });
     const holder: Holder = { reconciler, lease, metrics, store, clients, version };
@@ -135,7 +135,7 @@
   client.resumeProcess();
   await fixture.clock.runUntil(staleRound);
   t.deepEqual(fixture.engineVersions(), ['2']);
-  t.is(fixture.engines[0]?.control.refused.length, 1);
+  t.is(fixture.engines[0]?.control.refusedOrders.length, 1);
   t.is(previous.lease.fencingNumber, undefined);
 });
 
@@ -158,8 +158,8 @@
   await fixture.runRounds(2, successor, previous);
   t.deepEqual(fixture.engineVersions(), ['2']);
   await fixture.runRounds(6, successor, previous);
-  t.is(fixture.engines[0]?.control.acted.at(-1)?.order.kind, 'loadModel');
-  t.is(fixture.engines[0]?.control.acted.length, 3);
+  t.is(fixture.engines[0]?.control.executedOrders.at(-1)?.order.kind, 'loadModel');
+  t.is(fixture.engines[0]?.control.executedOrders.length, 3);
 });
 
 // Guards against orders after the lease has expired. A holder was paused between two rounds and resumes
@@ -171,9 +171,9 @@
     const successor = fixture.holder('i2', '2');
     await fixture.runRounds(2, previous, successor);
     await fixture.runRounds(takeOverRounds, successor);
-    const before = fixture.engines[0]?.control.acted.length;
+    const before = fixture.engines[0]?.control.executedOrders.length;
     await fixture.runRounds(3, previous);
-    t.is(fixture.engines[0]?.control.acted.length, before);
+    t.is(fixture.engines[0]?.control.executedOrders.length, before);
     t.deepEqual(fixture.engineVersions(), ['2']);
   }
 });
@@ -191,7 +191,7 @@
     t.is(held.length, 1);
     await fixture.clock.advance(roundMs);
   }
-  t.is(fixture.engines[0]?.control.acted.length, 1);
+  t.is(fixture.engines[0]?.control.executedOrders.length, 1);
 });
 
 // Guards against a second lease or a second order after a lost response. The store writes the lease and
@@ -200,13 +200,13 @@
 test('lost responses of the store and of an engine cause no repetition', async (t) => {
   const fixture = new OrderFixture(true);
   const holder = fixture.holder('i1', '1');
-  holder.store.link.answersToLose = 1;
+  holder.store.link.responsesToLose = 1;
   const control = fixture.engines[0]?.control;
-  if (control !== undefined) control.answersToLose = 1;
+  if (control !== undefined) control.responsesToLose = 1;
   await fixture.runRounds(4, holder);
   t.is(holder.lease.fencingNumber, 4);
   t.is(holder.metrics.counter('ordersFailed'), 1);
-  t.is(control?.acted.length, 1);
+  t.is(control?.executedOrders.length, 1);
   t.deepEqual(fixture.engineVersions(), ['1']);
 });
 
@@ -242,7 +242,7 @@
   const second = fixture.holder('i2', '1');
   await fixture.runRounds(2, first, second);
   const countLoads = () =>
-    fixture.engines.reduce((sum, { control }) => sum + control.acted.length, 0);
+    fixture.engines.reduce((sum, { control }) => sum + control.executedOrders.length, 0);
   const loadsBefore = countLoads();
   while (second.lease.fencingNumber === undefined) {
     await fixture.clock.advance(roundMs);
@@ -253,7 +253,7 @@
   await fixture.runRounds(8, second);
   t.deepEqual(new Set(fixture.engineVersions()), new Set(['1']));
   const loadTimesMs = fixture.engines
-    .flatMap(({ control }) => control.acted.map(({ atMs }) => atMs))
+    .flatMap(({ control }) => control.executedOrders.map(({ atMs }) => atMs))
     .sort((a, b) => a - b);
   t.is(loadTimesMs.length, 12);
   for (const fromMs of loadTimesMs) {
@@ -267,7 +267,7 @@
   await fixture.runRounds(1, second);
   for (const { control } of fixture.engines) control.rateLimitedForMs = undefined;
   await fixture.runRounds(12, second);
-  const reloads = fixture.engines.flatMap(({ control }) => control.acted.slice(1));
+  const reloads = fixture.engines.flatMap(({ control }) => control.executedOrders.slice(1));
   t.true(reloads.every(({ atMs }) => atMs - startedMs >= 30_000));
   t.deepEqual(new Set(fixture.engineVersions()), new Set(['2']));
 });
@@ -282,7 +282,7 @@
     const holder = fixture.holder('i1', '1', { kvReceiverId });
     await fixture.runRounds(3, holder);
     const exported = [{ kind: 'exportKv', receiverId: kvReceiverId }];
-    const orders = fixture.engines[0]?.control.acted.map(({ order }) => order);
+    const orders = fixture.engines[0]?.control.executedOrders.map(({ order }) => order);
     t.deepEqual(orders, (offersKvExport ? exported : []) as typeof orders);
   }
 });
--- a/packages/standins/src/failures/requestRecords/test.ts
+++ b/packages/standins/src/failures/requestRecords/test.ts
@@ -20,11 +20,11 @@
 // but the response is lost and the store becomes unavailable. The caller retries at the same instance.
 test('an intent that was never dispatched is reused by a retry at the same instance', async (t) => {
   const { clock, first } = setUp();
-  first.store.link.answersToLose = 1;
+  first.store.link.responsesToLose = 1;
   t.is((await clock.runUntil(first.records.begin(key, id('r1'), 'd'))).kind, 'begun');
 
   const other = 'k2' as RequestKey;
-  first.store.link.answersToLose = 1;
+  first.store.link.responsesToLose = 1;
   const read = first.store.read.bind(first.store);
   first.store.read = async (name) => {
     first.store.read = read;
--- a/packages/standins/src/failures/upstreamLimits/test.ts
+++ b/packages/standins/src/failures/upstreamLimits/test.ts
@@ -91,7 +91,7 @@
   },
   'message loss between instances': async (simulation) => {
     for (const from of ids) {
-      for (const to of ids) simulation.fleet.network.lose(from, to, 0.4);
+      for (const to of ids) simulation.fleet.network.setLossRatio(from, to, 0.4);
     }
     await simulation.run(20_000, loadPerS);
   },
--- a/packages/standins/src/failures/upstreamSync/test.ts
+++ b/packages/standins/src/failures/upstreamSync/test.ts
@@ -12,7 +12,7 @@
 } from '@acaciacrank/base';
 import { FleetRpc } from '@acaciacrank/fleet';
 import { PeerUpstreamSync, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
-import { MemoryFleet } from '../../MemoryFleet/index.js';
+import { MemoryNetwork } from '../../MemoryFleet/index.js';
 
 const service = 'lm' as ServiceName;
 const ids = ['a', 'b', 'c'] as InstanceId[];
@@ -32,7 +32,7 @@
 
 function setUp() {
   const clock = new ManualClock();
-  const network = new MemoryFleet({ clock });
+  const network = new MemoryNetwork({ clock });
   const random = createRandom(1);
   const nodes = ids.map((id) => {
     const links = network.linksFor(id);
--- a/packages/standins/src/faults/StepGate/index.ts
+++ b/packages/standins/src/faults/StepGate/index.ts
@@ -32,7 +32,7 @@
  * Fault injector that every external call of every actor (instance or operator) passes through. It
  * counts calls as steps and injects faults at the planned steps.
  */
-export class StepGate {
+export class FaultInjector {
   readonly steps: Step[] = [];
   readonly #clock: ManualClock;
   readonly #plan: readonly PlannedFault[];
@@ -62,15 +62,15 @@
   }
 
   /** Whether an actor has crashed. */
-  isDead(actor: string): boolean {
+  hasCrashed(actor: string): boolean {
     return this.#crashed.has(actor);
   }
 
   /** Settles when an actor crashes. */
-  whenDead(actor: string): Promise<void> {
+  whenCrashed(actor: string): Promise<void> {
     const known = this.#crashPromises.get(actor);
     if (known !== undefined) return known;
-    if (this.isDead(actor)) return Promise.resolve();
+    if (this.hasCrashed(actor)) return Promise.resolve();
     const crash = new Promise<void>((resolve) => {
       this.#onCrash.set(actor, resolve);
     });
@@ -84,9 +84,9 @@
   }
 
   /** Whether an actor is running and connected: neither crashed, paused nor cut off. */
-  isAwake(actor: string): boolean {
+  isAvailable(actor: string): boolean {
     const isPaused = this.pausedUntilMs(actor) > this.#clock.monotonicMs();
-    return !this.isDead(actor) && !isPaused && !this.isCutOff(actor);
+    return !this.hasCrashed(actor) && !isPaused && !this.isCutOff(actor);
   }
 
   /** When a paused actor resumes, by the monotonic clock, in milliseconds; in the past if it is not paused. */
@@ -111,12 +111,12 @@
   }
 
   /** Makes the platform unavailable to all actors. */
-  takeStoreDown(durationMs: number): void {
+  startStoreOutage(durationMs: number): void {
     this.#storeDownUntilMs = this.#clock.monotonicMs() + durationMs;
   }
 
   /** Loses the responses of an actor's next store writes; the writes themselves take effect. */
-  loseAnswers(actor: string, count: number): void {
+  loseWriteResponses(actor: string, count: number): void {
     this.#responsesToLose.set(actor, count);
   }
 
@@ -125,11 +125,11 @@
    *
    * @param peer - `store`, `engine` or `service`
    */
-  silenceOpen(actor: string, peer: string): void {
+  silenceOpenConnections(actor: string, peer: string): void {
     this.#silenceEpochs.set(`${actor}>${peer}`, this.silenceEpoch(actor, peer) + 1);
   }
 
-  /** Epoch that {@link silenceOpen} increments; separates connections opened before a silence from later ones. */
+  /** Epoch that {@link silenceOpenConnections} increments; separates connections opened before a silence from later ones. */
   silenceEpoch(actor: string, call: string): number {
     return this.#silenceEpochs.get(`${actor}>${call.split('.')[0] ?? ''}`) ?? 0;
   }
@@ -171,7 +171,7 @@
   #startFault(fault: FaultKind | undefined, actor: string): void {
     if (fault === 'crashBefore') this.crash(actor);
     if (fault === 'pause') this.pause(actor, pauseMs);
-    if (fault === 'storeDown') this.takeStoreDown(outageMs);
+    if (fault === 'storeDown') this.startStoreOutage(outageMs);
     if (fault === 'partition') this.cutOff(actor, outageMs);
   }
 
@@ -193,7 +193,7 @@
 
   /** Waits for the end of a pause; never returns for a crashed actor. */
   async #untilResumed(actor: string): Promise<void> {
-    if (this.isDead(actor)) await new Promise<never>(() => undefined);
+    if (this.hasCrashed(actor)) await new Promise<never>(() => undefined);
     const waitMs = this.pausedUntilMs(actor) - this.#clock.monotonicMs();
     if (waitMs <= 0) return;
     await this.#clock.sleep(waitMs);
--- a/packages/standins/src/faults/StoryContext/index.ts
+++ b/packages/standins/src/faults/StoryContext/index.ts
@@ -6,7 +6,7 @@
 import type { LocalFleet, LocalInstance } from '../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
 import { accountKey, budget } from '../document.js';
-import type { StepGate } from '../StepGate/index.js';
+import type { FaultInjector } from '../StepGate/index.js';
 import type { Violation } from '../types.js';
 import { FaultInjectingStore } from '../wrapInstance/index.js';
 
@@ -19,7 +19,7 @@
   endedMs: number;
   text: string;
   final: ChatFinalFrame | undefined;
-  answer: ServiceResponse | undefined;
+  response: ServiceResponse | undefined;
   error: RouterError | undefined;
   /** Whether the caller closed the connection before the end. */
   hasHungUp: boolean;
@@ -51,7 +51,7 @@
 /** The fleet and the callers of a story, and the outcomes that are checked after it. */
 export class StoryContext {
   readonly fleet: LocalFleet;
-  readonly gate: StepGate;
+  readonly injector: FaultInjector;
   readonly attempts: AttemptOutcome[] = [];
   readonly violations: Violation[] = [];
   readonly isFencingChecked: boolean;
@@ -63,12 +63,12 @@
   readonly #wrapOperatorStore: (store: ObjectStore) => ObjectStore;
   readonly #openingTokens: number;
 
-  constructor(fleet: LocalFleet, gate: StepGate, options: StoryContextOptions = {}) {
+  constructor(fleet: LocalFleet, injector: FaultInjector, options: StoryContextOptions = {}) {
     this.#wrapOperatorStore = options.wrapOperatorStore ?? ((store) => store);
     this.isFencingChecked = options.isFencingChecked ?? true;
     this.#openingTokens = options.openingTokens ?? budget.openingTokens;
     this.fleet = fleet;
-    this.gate = gate;
+    this.injector = injector;
     fleet.platform.onCommit = (object) => {
       this.#checkPage(object.key, object.value);
     };
@@ -94,7 +94,7 @@
   /** Creates the store connection of an operator, with fault injection. */
   operatorStore(name: string): FaultInjectingStore {
     const store = new MemoryObjectStore(this.fleet.platform, this.fleet.clock);
-    return new FaultInjectingStore(this.gate, name, this.#wrapOperatorStore(store));
+    return new FaultInjectingStore(this.injector, name, this.#wrapOperatorStore(store));
   }
 
   /** Sends a chat request to one instance and waits for its outcome. */
@@ -132,7 +132,10 @@
       outcome,
       async () => {
         refuseWhenLeaving(local);
-        outcome.answer = await local.instance.services.run(serviceCall(key, method), hangUp.signal);
+        outcome.response = await local.instance.services.run(
+          serviceCall(key, method),
+          hangUp.signal,
+        );
       },
       hangUp,
     );
@@ -146,7 +149,7 @@
   ): Promise<AttemptOutcome> {
     for (let count = 1; ; count += 1) {
       const outcome = await attempt((count - 1) % this.fleet.instances.length);
-      const isAnswered = outcome.final !== undefined || outcome.answer !== undefined;
+      const isAnswered = outcome.final !== undefined || outcome.response !== undefined;
       const isFinal = outcome.error !== undefined && outcome.error.retryAfterMs === undefined;
       if (isAnswered || isFinal || count === maxAttempts) return outcome;
       await this.fleet.clock.sleep(outcome.error?.retryAfterMs ?? 1_000);
@@ -163,7 +166,7 @@
       endedMs: nowMs,
       text: '',
       final: undefined,
-      answer: undefined,
+      response: undefined,
       error: undefined,
       hasHungUp: false,
       isCrashed: false,
@@ -180,7 +183,7 @@
     hangUp: AbortController,
   ): Promise<void> {
     const { clock } = this.fleet;
-    const crashed = this.gate.whenDead(outcome.instanceId).then(() => {
+    const crashed = this.injector.whenCrashed(outcome.instanceId).then(() => {
       outcome.isCrashed = true;
     });
     const timeoutAbort = new AbortController();
--- a/packages/standins/src/faults/checkRecords/index.ts
+++ b/packages/standins/src/faults/checkRecords/index.ts
@@ -67,7 +67,7 @@
   context: StoryContext,
   engineRecords: readonly EngineRecord[],
 ): Violation[] {
-  if (context.gate.hasPaused) return [];
+  if (context.injector.hasPaused) return [];
   const hungUp = new Set(
     context.attempts.filter((attempt) => attempt.hasHungUp).map(({ key }) => key),
   );
@@ -177,7 +177,7 @@
   const stored = context.fleet.platform.objects().find(({ key }) => key === manifestKey('faults'));
   const { version } = stored?.value as Manifest;
   return context.fleet.instances
-    .filter(({ id }) => !context.gate.isDead(id))
+    .filter(({ id }) => !context.injector.hasCrashed(id))
     .filter(({ instance }) => instance.configuration.inForce.value?.version !== version)
     .map(({ id }) => violation('versionReachesAll', `${id} does not act on version ${version}`));
 }
@@ -194,7 +194,7 @@
 
 function unfinishedCallViolations(context: StoryContext): Violation[] {
   return context.attempts
-    .filter((attempt) => attempt.hasTimedOut && !context.gate.isDead(attempt.instanceId))
+    .filter((attempt) => attempt.hasTimedOut && !context.injector.hasCrashed(attempt.instanceId))
     .map((attempt) => violation('everyCallEnds', `${attempt.key} at ${attempt.instanceId}`));
 }
 
--- a/packages/standins/src/faults/runMatrix/index.ts
+++ b/packages/standins/src/faults/runMatrix/index.ts
@@ -5,7 +5,7 @@
 import { isKnownRed } from '../_lib/readKnownRed/index.js';
 import { checkRecords } from '../checkRecords/index.js';
 import { storyDocument } from '../document.js';
-import { StepGate } from '../StepGate/index.js';
+import { FaultInjector } from '../StepGate/index.js';
 import type { Story } from '../stories/index.js';
 import { StoryContext } from '../StoryContext/index.js';
 import {
@@ -45,8 +45,8 @@
  * const { violations } = await runStory(story, { seed: 1, plan: [{ step: 3, fault: 'crashAfter' }] });
  */
 export async function runStory(story: Story, options: RunStoryOptions): Promise<StoryRun> {
-  let injector: StepGate | undefined;
-  const injectorFor = (clock: ManualClock) => (injector ??= new StepGate(clock, options.plan));
+  let injector: FaultInjector | undefined;
+  const injectorFor = (clock: ManualClock) => (injector ??= new FaultInjector(clock, options.plan));
   const fleet = await createLocalFleet({
     document: storyDocument('first'),
     seed: options.seed,
@@ -61,11 +61,11 @@
   });
   for (const { instance } of fleet.instances)
     options.mutation?.mutateAfterStart?.(instance, fleet.clock);
-  context.gate.startCounting();
+  context.injector.startCounting();
   await fleet.clock.runUntil(story.run(context), 3_600_000);
-  await fleet.clock.advance(settlingMs + longestPauseMs(fleet, context.gate));
-  const run = { steps: context.gate.steps, violations: checkRecords(context) };
-  await disposeRunning(fleet, context.gate);
+  await fleet.clock.advance(settlingMs + longestPauseMs(fleet, context.injector));
+  const run = { steps: context.injector.steps, violations: checkRecords(context) };
+  await disposeRunning(fleet, context.injector);
   return run;
 }
 
@@ -215,14 +215,14 @@
   return Array.from({ length: count }, () => [draw(), draw()]);
 }
 
-function longestPauseMs(fleet: LocalFleet, injector: StepGate): number {
+function longestPauseMs(fleet: LocalFleet, injector: FaultInjector): number {
   const nowMs = fleet.clock.monotonicMs();
   return Math.max(0, ...fleet.instances.map((local) => injector.pausedUntilMs(local.id) - nowMs));
 }
 
 /** Skips crashed instances, whose disposal would never complete. */
-async function disposeRunning(fleet: LocalFleet, injector: StepGate): Promise<void> {
-  const running = fleet.instances.filter((local) => !injector.isDead(local.id));
+async function disposeRunning(fleet: LocalFleet, injector: FaultInjector): Promise<void> {
+  const running = fleet.instances.filter((local) => !injector.hasCrashed(local.id));
   const disposals = running.map((local) => local.instance[Symbol.asyncDispose]());
   await fleet.clock.runUntil(Promise.all(disposals));
 }
--- a/packages/standins/src/faults/stories/engineOrder/index.ts
+++ b/packages/standins/src/faults/stories/engineOrder/index.ts
@@ -44,7 +44,7 @@
   name: string,
   version: string,
 ): OrderReconciler {
-  const clock = new FaultInjectingClock(context.gate, name, context.fleet.clock);
+  const clock = new FaultInjectingClock(context.injector, name, context.fleet.clock);
   const lease = new StoreLease({
     store: context.operatorStore(name),
     clock,
@@ -52,13 +52,13 @@
     holder: name as InstanceId,
     incarnation: '1',
   });
-  const client = new FaultInjectingEngine(context.gate, name, new LocalEngineClient(engine));
+  const client = new FaultInjectingEngine(context.injector, name, new LocalEngineClient(engine));
   const target = { models: [{ model: 'small', version }], adapters: [], role: 'both' as const };
   const reconciler = createOrderReconciler(true, {
     clock,
     metrics: new Metrics(),
     lease,
-    rate: new WeightLoadRateLimiter({ clock, loadsPerMinute: 600 }),
+    rateLimiter: new WeightLoadRateLimiter({ clock, loadsPerMinute: 600 }),
     engines: () => [{ id: engine.id, engine: client, target }],
   });
   reconciler.start();
@@ -67,7 +67,7 @@
 
 /** Checks that the engine executed at least one order and that fencing numbers never decreased. */
 function checkFencingNumbers(context: StoryContext, engine: StandinEngine): void {
-  const fencingNumbers = engine.control.acted.map(({ fencingNumber }) => fencingNumber);
+  const fencingNumbers = engine.control.executedOrders.map(({ fencingNumber }) => fencingNumber);
   const hasDecreased = fencingNumbers.some(
     (number, index) => number < (fencingNumbers[index - 1] ?? 0),
   );
--- a/packages/standins/src/faults/stories/plannedStop/index.ts
+++ b/packages/standins/src/faults/stories/plannedStop/index.ts
@@ -15,14 +15,15 @@
     openRequest[Symbol.dispose]();
   });
   await context.fleet.clock.sleep(30);
-  const crashed = context.gate.whenDead('i1');
+  const crashed = context.injector.whenCrashed('i1');
   await Promise.race([instance.drain(300_000), crashed]);
-  const isOpen = !context.gate.isDead('i1') && instance.openRequests > 0;
+  const isOpen = !context.injector.hasCrashed('i1') && instance.openRequests > 0;
   const outcome = await attempt;
   // After a pause beyond the deadline of the class, streams end because of the deadline, not the stop.
-  const isEndedByDeadline = context.gate.hasPaused && outcome.error?.kind === 'deadlineExceeded';
+  const isEndedByDeadline =
+    context.injector.hasPaused && outcome.error?.kind === 'deadlineExceeded';
   const isCut = outcome.text !== '' && outcome.final === undefined && !isEndedByDeadline;
-  if (isOpen || (isCut && !context.gate.isDead('i1'))) {
+  if (isOpen || (isCut && !context.injector.hasCrashed('i1'))) {
     context.violations.push({ invariant: 'plannedStopCutsNothing', what: outcome.key });
   }
 }
--- a/packages/standins/src/faults/stories/promotion/index.ts
+++ b/packages/standins/src/faults/stories/promotion/index.ts
@@ -20,7 +20,7 @@
         expectedVersion: 1,
       },
     );
-    return Promise.race([work.catch(() => undefined), context.gate.whenDead(name)]);
+    return Promise.race([work.catch(() => undefined), context.injector.whenCrashed(name)]);
   };
   await Promise.all([promote('operator-a'), promote('operator-b')]);
   await context.fleet.clock.sleep(10_000);
--- a/packages/standins/src/faults/stories/topUp/index.ts
+++ b/packages/standins/src/faults/stories/topUp/index.ts
@@ -13,7 +13,7 @@
 export async function topUp(context: StoryContext): Promise<void> {
   context.topUps.set('invoice-1', 100);
   const spending = context.chat(0, 'prompt-1');
-  const crashed = context.gate.whenDead('operator').then(() => false);
+  const crashed = context.injector.whenCrashed('operator').then(() => false);
   const isToppedUp = await Promise.race([topUpUntilConfirmed(context, 'operator'), crashed]);
   // After a crash of the operator's machine, the same top-up is repeated from another machine.
   if (!isToppedUp) await topUpUntilConfirmed(context, 'operator-again');
--- a/packages/standins/src/faults/wrapInstance/index.ts
+++ b/packages/standins/src/faults/wrapInstance/index.ts
@@ -29,7 +29,7 @@
   type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
-import type { InterceptedCall, StepGate } from '../StepGate/index.js';
+import type { InterceptedCall, FaultInjector } from '../StepGate/index.js';
 
 /**
  * Wraps the clock, store, instance list, upstream clients and links of an instance.
@@ -41,7 +41,7 @@
  * @example
  * const instance = new Instance(wrapInstance(injector, options));
  */
-export function wrapInstance(injector: StepGate, options: InstanceOptions): InstanceOptions {
+export function wrapInstance(injector: FaultInjector, options: InstanceOptions): InstanceOptions {
   const actor: string = options.instanceId;
   return {
     ...options,
@@ -59,11 +59,11 @@
 
 /** Clock whose timers are suspended while the process is paused and never fire after a crash; time continues. */
 export class FaultInjectingClock extends Clock {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #clock: Clock;
 
-  constructor(injector: StepGate, actor: string, clock: Clock) {
+  constructor(injector: FaultInjector, actor: string, clock: Clock) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -80,7 +80,7 @@
 
   override schedule(delayMs: number, task: () => void): Disposable {
     let timer = this.#clock.schedule(delayMs, () => {
-      if (this.#injector.isDead(this.#actor)) return;
+      if (this.#injector.hasCrashed(this.#actor)) return;
       const pausedMs = this.#injector.pausedUntilMs(this.#actor) - this.monotonicMs();
       if (pausedMs > 0) timer = this.schedule(pausedMs, task);
       else task();
@@ -95,11 +95,11 @@
 
 /** Links that drop all messages while the instance is crashed, paused or cut off. */
 class FaultInjectingLinks extends FleetLinks {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: InstanceId;
   readonly #links: FleetLinks;
 
-  constructor(injector: StepGate, actor: InstanceId, links: FleetLinks) {
+  constructor(injector: FaultInjector, actor: InstanceId, links: FleetLinks) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -118,17 +118,17 @@
   }
 
   #isOpen(peer: InstanceId): boolean {
-    return this.#injector.isAwake(this.#actor) && !this.#injector.isCutOff(peer);
+    return this.#injector.isAvailable(this.#actor) && !this.#injector.isCutOff(peer);
   }
 }
 
 /** Object store whose calls pass through the fault injector; also used for operators. */
 export class FaultInjectingStore extends ObjectStore {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #store: ObjectStore;
 
-  constructor(injector: StepGate, actor: string, store: ObjectStore) {
+  constructor(injector: FaultInjector, actor: string, store: ObjectStore) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -181,11 +181,11 @@
 }
 
 class FaultInjectingList extends InstanceList {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #list: InstanceList;
 
-  constructor(injector: StepGate, actor: string, list: InstanceList) {
+  constructor(injector: FaultInjector, actor: string, list: InstanceList) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -205,11 +205,11 @@
 }
 
 class FaultInjectingClients extends UpstreamClients {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #clients: UpstreamClients;
 
-  constructor(injector: StepGate, actor: string, clients: UpstreamClients) {
+  constructor(injector: FaultInjector, actor: string, clients: UpstreamClients) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -230,11 +230,11 @@
 
 /** Engine client whose calls pass through the fault injector. */
 export class FaultInjectingEngine extends EngineClient {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #engine: EngineClient;
 
-  constructor(injector: StepGate, actor: string, engine: EngineClient) {
+  constructor(injector: FaultInjector, actor: string, engine: EngineClient) {
     super();
     this.#injector = injector;
     this.#actor = actor;
@@ -318,11 +318,11 @@
 }
 
 class FaultInjectingService extends ServiceClient {
-  readonly #injector: StepGate;
+  readonly #injector: FaultInjector;
   readonly #actor: string;
   readonly #service: ServiceClient;
 
-  constructor(injector: StepGate, actor: string, service: ServiceClient) {
+  constructor(injector: FaultInjector, actor: string, service: ServiceClient) {
     super();
     this.#injector = injector;
     this.#actor = actor;
--- a/packages/standins/src/operatorCommands/test.ts
+++ b/packages/standins/src/operatorCommands/test.ts
@@ -21,7 +21,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { markedText } from '../configuration/_lib/configurationDocument/index.js';
+import { createDocumentText } from '../configuration/_lib/configurationDocument/index.js';
 import { MemoryInstanceList, MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 
 /** Fake operator ports of instances; those in {@link unreachable} do not respond. */
@@ -87,7 +87,7 @@
   });
   const file = (mark: number) => {
     const path = join(directory, `kapiti-${mark}.yaml`);
-    writeFileSync(path, markedText(mark));
+    writeFileSync(path, createDocumentText(mark));
     return path;
   };
   const run = <Value>(work: Promise<Value>) => clock.runUntil(work);
--- a/packages/standins/src/scenarios/runScenario/index.ts
+++ b/packages/standins/src/scenarios/runScenario/index.ts
@@ -4,7 +4,7 @@
 import { createLocalFleet, type LocalFleet } from '../../createLocalFleet/index.js';
 import { budget, storyDocument } from '../../faults/document.js';
 import { checkRecords } from '../../faults/checkRecords/index.js';
-import { StepGate } from '../../faults/StepGate/index.js';
+import { FaultInjector } from '../../faults/StepGate/index.js';
 import { StoryContext, type AttemptOutcome } from '../../faults/StoryContext/index.js';
 import { wrapInstance } from '../../faults/wrapInstance/index.js';
 import type { Bounds, Scenario, ScenarioEvent, ScenarioTraffic } from '../scenarioSchema/index.js';
@@ -38,19 +38,21 @@
  * const { faults } = await runScenario(parseScenario(text, path));
  */
 export async function runScenario(scenario: Scenario): Promise<ScenarioResult> {
-  let gate: StepGate | undefined;
-  const getGate = (clock: ManualClock) => (gate ??= new StepGate(clock, []));
+  let injector: FaultInjector | undefined;
+  const getInjector = (clock: ManualClock) => (injector ??= new FaultInjector(clock, []));
   const { budgetTokens, ...sizes } = scenario.fleet;
   const fleet = await createLocalFleet({
     ...sizes,
     document: storyDocument('first', budgetTokens),
     seed: scenario.seed,
-    wrap: (parts, clock) => wrapInstance(getGate(clock), parts),
+    wrap: (parts, clock) => wrapInstance(getInjector(clock), parts),
+  });
+  const context = new StoryContext(fleet, getInjector(fleet.clock), {
+    openingTokens: budgetTokens,
   });
-  const context = new StoryContext(fleet, getGate(fleet.clock), { openingTokens: budgetTokens });
   const run = new ScenarioRun(scenario, context);
   const result = await run.execute();
-  const runningInstances = fleet.instances.filter(({ id }) => !context.gate.isDead(id));
+  const runningInstances = fleet.instances.filter(({ id }) => !context.injector.hasCrashed(id));
   await fleet.clock.runUntil(
     Promise.all(runningInstances.map((one) => one.instance[Symbol.asyncDispose]())),
   );
@@ -108,7 +110,7 @@
     for (let count = 1; ; count += 1) {
       const index = this.#chooseInstance(workload, failed);
       const outcome = await this.#attempt(workload, key, index, count);
-      const isAnswered = outcome.final !== undefined || outcome.answer !== undefined;
+      const isAnswered = outcome.final !== undefined || outcome.response !== undefined;
       const { error } = outcome;
       const isFinalError = error !== undefined && error.retryAfterMs === undefined;
       if (isAnswered || isFinalError || count === maxAttempts) return outcome;
@@ -131,7 +133,7 @@
     const named = instances.findIndex(({ id }) => id === workload.at);
     if (named >= 0 && !failed.has(workload.at)) return named;
     const directoryInstance = instances.find(
-      ({ id }) => this.#context.gate.isAwake(id) && !failed.has(id),
+      ({ id }) => this.#context.injector.isAvailable(id) && !failed.has(id),
     );
     const listed =
       directoryInstance?.instance.directory.answer(budget.accountId, undefined).instances ?? [];
@@ -143,15 +145,15 @@
   }
 
   async #applyEvent(event: ScenarioEvent): Promise<void> {
-    const { gate } = this.#context;
+    const { injector } = this.#context;
     if ('crash' in event) this.#crash(event.crash);
     else if ('start' in event)
       this.#context.watchVersion(await this.#fleet.addInstance(event.start));
     else if ('stop' in event) this.#backgroundTasks.push(this.#stop(event.stop));
-    else if ('pause' in event) gate.pause(event.pause, event.for);
-    else if ('cut' in event) for (const actor of event.cut) gate.cutOff(actor, event.for);
-    else if ('storeDown' in event) gate.takeStoreDown(event.storeDown);
-    else if ('loseAnswers' in event) gate.loseAnswers(event.loseAnswers, event.count);
+    else if ('pause' in event) injector.pause(event.pause, event.for);
+    else if ('cut' in event) for (const actor of event.cut) injector.cutOff(actor, event.for);
+    else if ('storeDown' in event) injector.startStoreOutage(event.storeDown);
+    else if ('loseAnswers' in event) injector.loseWriteResponses(event.loseAnswers, event.count);
     else if ('silence' in event) this.#silence(event.silence, event.to);
     else if ('leave' in event) this.#leave(event.leave);
     else if ('topUp' in event) this.#backgroundTasks.push(this.#topUp(event));
@@ -159,12 +161,12 @@
   }
 
   #crash(id: string): void {
-    this.#context.gate.crash(id);
+    this.#context.injector.crash(id);
     this.#fleet.platform.removeInstance(id);
   }
 
   #silence(actor: string, peer: 'store' | 'engine' | 'service' | 'fleet'): void {
-    if (peer !== 'fleet') this.#context.gate.silenceOpen(actor, peer);
+    if (peer !== 'fleet') this.#context.injector.silenceOpenConnections(actor, peer);
     else for (const { id } of this.#fleet.instances) this.#fleet.network.silence(actor, id);
   }
 
@@ -172,10 +174,10 @@
     const localInstance = this.#fleet.instances.find((one) => one.id === id);
     await Promise.race([
       localInstance?.instance.drain(stopLimitMs),
-      this.#context.gate.whenDead(id),
+      this.#context.injector.whenCrashed(id),
     ]);
     const isOpen =
-      (localInstance?.instance.openRequests ?? 0) > 0 && !this.#context.gate.isDead(id);
+      (localInstance?.instance.openRequests ?? 0) > 0 && !this.#context.injector.hasCrashed(id);
     if (isOpen) this.#context.violations.push({ invariant: 'plannedStopCutsNothing', what: id });
     this.#crash(id);
   }
@@ -216,11 +218,12 @@
    */
   async #waitUntilInForce(version: number): Promise<void> {
     const { clock, instances } = this.#fleet;
-    const { gate } = this.#context;
+    const { injector } = this.#context;
     const isLagging = () =>
       instances.some(
         ({ id, instance }) =>
-          gate.isAwake(id) && (instance.configuration.inForce.value?.version ?? 0) < version,
+          injector.isAvailable(id) &&
+          (instance.configuration.inForce.value?.version ?? 0) < version,
       );
     while (isLagging() && clock.monotonicMs() - (this.#acceptedMs ?? 0) < 600_000)
       await clock.sleep(100);
@@ -229,7 +232,9 @@
 
   async #measure(): Promise<ScenarioResult> {
     const outcomes = await Promise.all(this.#requests);
-    const answered = outcomes.filter((one) => one.final !== undefined || one.answer !== undefined);
+    const answered = outcomes.filter(
+      (one) => one.final !== undefined || one.response !== undefined,
+    );
     const { attempts } = this.#context;
     const kinds = attempts.flatMap(({ error }) => (error === undefined ? [] : [error.kind]));
     const refusals: Record<string, number> = {};
--- a/packages/store/src/MemoryPlatform/index.ts
+++ b/packages/store/src/MemoryPlatform/index.ts
@@ -187,12 +187,12 @@
   /** Latency of each call, in milliseconds. */
   delayMs: number;
   /** Number of upcoming writes that take effect but whose response is lost. */
-  answersToLose: number;
+  responsesToLose: number;
 }
 
 /** In-process object store of one client. */
 export class MemoryObjectStore extends ObjectStore {
-  readonly link: PlatformLink = { isDown: false, delayMs: 0, answersToLose: 0 };
+  readonly link: PlatformLink = { isDown: false, delayMs: 0, responsesToLose: 0 };
   readonly #platform: MemoryPlatform;
   readonly #clock: Clock;
   readonly #watchWaitMs: number;
@@ -245,8 +245,8 @@
   }
 
   #respond(result: WriteResult): WriteResult {
-    if (this.link.answersToLose > 0) {
-      this.link.answersToLose -= 1;
+    if (this.link.responsesToLose > 0) {
+      this.link.responsesToLose -= 1;
       throw createUnavailableError();
     }
     return result;
--- a/packages/upstreams/src/EngineClient/index.ts
+++ b/packages/upstreams/src/EngineClient/index.ts
@@ -14,7 +14,7 @@
 /** A client for one model engine. */
 export abstract class EngineClient {
   /** Adaptive timeout for the gaps between this engine's tokens. */
-  readonly tokenGaps = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
+  readonly tokenGapTimeout = new AdaptiveTimeout({ floorMs: 1_000, ceilingMs: 10_000 });
   /** Adaptive timeout for this engine's first token, which queueing and long prompts delay. */
   readonly firstTokenTimeout = new AdaptiveTimeout({ floorMs: 2_000, ceilingMs: 30_000 });
 
--- a/packages/upstreams/src/OrderReconciler/index.ts
+++ b/packages/upstreams/src/OrderReconciler/index.ts
@@ -24,7 +24,7 @@
   metrics: Metrics;
   lease: StoreLease;
   /** Limits model and adapter loads to the weight store's rate for the service. */
-  rate: WeightLoadRateLimiter;
+  rateLimiter: WeightLoadRateLimiter;
   /** Returns the service's engines with their current desired state; called in each round. */
   engines: () => readonly ManagedEngine[];
   /** Timeout for one order or one state report, in milliseconds. */
@@ -72,7 +72,7 @@
 
   /** Acquires or renews the lease and, as its holder, reconciles all engines once. */
   async runRound(): Promise<void> {
-    const { lease, rate, engines, metrics } = this.options;
+    const { lease, rateLimiter: rate, engines, metrics } = this.options;
     const isHolder = await lease.acquire();
     if (isHolder && !this.#wasHolder) {
       rate.empty();
@@ -121,7 +121,7 @@
    * immediately before the order is sent, with no await in between.
    */
   async #sendOrder(engine: EngineClient, order: EngineOrder): Promise<OrderOutcome | undefined> {
-    const { clock, lease, metrics, orderLimitMs, rate } = this.options;
+    const { clock, lease, metrics, orderLimitMs, rateLimiter: rate } = this.options;
     if (loadsWeights(order) && !rate.take()) return undefined;
     const { fencingNumber } = lease;
     if (fencingNumber === undefined || !this.canSendOrder(lease.remainingMs)) return undefined;
