--- a/packages/standins/src/_lib/FleetSimulation/index.ts
+++ b/packages/standins/src/_lib/FleetSimulation/index.ts
@@ -12,7 +12,7 @@
 } from '@acaciacrank/base';
 import { InstanceFleet } from '@acaciacrank/forwarding';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryNetwork/index.js';
 
 /** One process run of an instance. */
 export interface FleetNode {
--- a/packages/standins/src/_lib/MemberFleet/index.ts
+++ b/packages/standins/src/_lib/MemberFleet/index.ts
@@ -8,7 +8,7 @@
 } from '@acaciacrank/base';
 import { ConfigurationGossip, FleetRpc, Membership, type Member } from '@acaciacrank/fleet';
 import type { ListedInstance } from '@acaciacrank/store';
-import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../../MemoryNetwork/index.js';
 
 /** An instance reduced to its membership and the gossip of its configuration. */
 export interface MemberNode {
--- a/packages/standins/src/benches/compare/index.ts
+++ b/packages/standins/src/benches/compare/index.ts
@@ -5,7 +5,7 @@
 import { RouterError } from '@acaciacrank/base';
 import { readFileSync } from 'node:fs';
 import type { ResultRow } from '../../printTable/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 
 /**
  * Compares the two files.
--- a/packages/standins/src/benches/configuration/index.ts
+++ b/packages/standins/src/benches/configuration/index.ts
@@ -11,7 +11,7 @@
   objectsOf,
 } from '@acaciacrank/operators';
 import { makeDocument } from '../../configuration/_lib/configurationDocument/index.js';
-import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 import { roundHundredths } from '../_lib/roundHundredths/index.js';
 
--- a/packages/standins/src/benches/fleet/index.ts
+++ b/packages/standins/src/benches/fleet/index.ts
@@ -9,7 +9,7 @@
  */
 import { millisecondsInDay, millisecondsInSecond } from '@acaciacrank/base';
 import { MemberFleet } from '../../_lib/MemberFleet/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 /** Cost for each instance at one fleet size. */
--- a/packages/standins/src/benches/memory/index.ts
+++ b/packages/standins/src/benches/memory/index.ts
@@ -6,7 +6,7 @@
  */
 import { Agent } from 'undici';
 import type { ResultRow } from '../../printTable/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import { startLoopbackFleet } from '../_lib/startLoopbackFleet/index.js';
 import { streamFromEngine, streamThroughInstance } from '../_lib/streamTokens/index.js';
 
--- a/packages/standins/src/benches/path/index.ts
+++ b/packages/standins/src/benches/path/index.ts
@@ -4,7 +4,7 @@
  */
 import { Agent, type Dispatcher } from 'undici';
 import type { ResultRow } from '../../printTable/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import { median } from '../_lib/median/index.js';
 import { startLoopbackFleet, type LoopbackFleet } from '../_lib/startLoopbackFleet/index.js';
 import {
--- a/packages/standins/src/benches/routing/index.ts
+++ b/packages/standins/src/benches/routing/index.ts
@@ -10,7 +10,7 @@
   type UpstreamId,
 } from '@acaciacrank/base';
 import { AdmissionQueue, PrefixAffinity, UpstreamRegistry } from '@acaciacrank/routing';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import { LocalUpstreamClients } from '../../LocalUpstreamClients/index.js';
 import { MemoryInstanceList, MemoryPlatform } from '@acaciacrank/store';
 import type { ResultRow } from '../../printTable/index.js';
--- a/packages/standins/src/createEngineServer/index.ts
+++ b/packages/standins/src/createEngineServer/index.ts
@@ -6,7 +6,7 @@
   readText,
   sendJson,
   createJsonServer,
-} from '../_lib/serveJson/index.js';
+} from '../_lib/createJsonServer/index.js';
 import type { StandinEngine } from '../StandinEngine/index.js';
 
 /**
--- a/packages/standins/src/createLocalFleet/index.ts
+++ b/packages/standins/src/createLocalFleet/index.ts
@@ -11,7 +11,7 @@
 import { Instance, type InstanceOptions } from '@acaciacrank/router';
 import { Writable } from 'node:stream';
 import { LocalUpstreamClients } from '../LocalUpstreamClients/index.js';
-import { MemoryNetwork, type MemoryFleetLinks } from '../MemoryFleet/index.js';
+import { MemoryNetwork, type MemoryFleetLinks } from '../MemoryNetwork/index.js';
 import { MemoryInstanceList, MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
 import { StandinEngine, type StandinEngineOptions } from '../StandinEngine/index.js';
 import { StandinService } from '../StandinService/index.js';
--- a/packages/standins/src/createServiceServer/index.ts
+++ b/packages/standins/src/createServiceServer/index.ts
@@ -1,6 +1,6 @@
 import type { RequestId } from '@acaciacrank/base';
 import type { Server } from 'node:http';
-import { readText, sendJson, createJsonServer } from '../_lib/serveJson/index.js';
+import { readText, sendJson, createJsonServer } from '../_lib/createJsonServer/index.js';
 import type { StandinService } from '../StandinService/index.js';
 
 /**
--- a/packages/standins/src/experiments/configuration-size/index.ts
+++ b/packages/standins/src/experiments/configuration-size/index.ts
@@ -17,7 +17,7 @@
 } from '../../configuration/_lib/configurationDocument/index.js';
 import { FaultyObjectStore } from '../../configuration/_lib/FaultyObjectStore/index.js';
 import { MemoryObjectStore, MemoryPlatform } from '@acaciacrank/store';
-import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 const sizes: readonly DocumentSize[] = [
--- a/packages/standins/src/experiments/configuration-spread/index.ts
+++ b/packages/standins/src/experiments/configuration-spread/index.ts
@@ -8,7 +8,7 @@
 import { createDocumentText } from '../../configuration/_lib/configurationDocument/index.js';
 import { createLocalFleet, type LocalFleet } from '../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
-import type { RunFunction, RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunFunction, RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 const instanceCount = 5;
--- a/packages/standins/src/experiments/leaving/index.ts
+++ b/packages/standins/src/experiments/leaving/index.ts
@@ -2,7 +2,7 @@
  * Compares how long an answer should continue after its caller has disconnected: the tokens that are
  * wasted if the caller does not return against the repeated runs if it does.
  */
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import { StreamLoad } from '../../_lib/StreamLoad/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
--- a/packages/standins/src/experiments/membership/index.ts
+++ b/packages/standins/src/experiments/membership/index.ts
@@ -6,7 +6,7 @@
 import { configurationScenarios } from './_lib/configurationScenarios/index.js';
 import { replaceAllInstances } from './_lib/rollingReplacement/index.js';
 import { MemberFleet } from '../../_lib/MemberFleet/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
 /** Result of one failure scenario. The columns call the scenario a story. */
--- a/packages/standins/src/experiments/routing/index.ts
+++ b/packages/standins/src/experiments/routing/index.ts
@@ -1,7 +1,7 @@
 /**
  * Compares upstream selection policies under load with injected faults, in virtual time.
  */
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 import { comparedPolicies } from './_lib/policies/index.js';
 import { cellCases, runCell } from './_lib/runCell/index.js';
--- a/packages/standins/src/experiments/silence/index.ts
+++ b/packages/standins/src/experiments/silence/index.ts
@@ -9,7 +9,7 @@
   type ConnectionFault,
   type FaultPlan,
 } from '../../_lib/FaultyUpstreams/index.js';
-import type { RunOptions } from '../../_lib/runNamed/index.js';
+import type { RunOptions } from '../../_lib/runModuleByName/index.js';
 import { quantile, StreamLoad, type CallOutcome } from '../../_lib/StreamLoad/index.js';
 import type { ResultRow } from '../../printTable/index.js';
 
--- a/packages/standins/src/failures/upstreamSync/test.ts
+++ b/packages/standins/src/failures/upstreamSync/test.ts
@@ -12,7 +12,7 @@
 } from '@acaciacrank/base';
 import { FleetRpc } from '@acaciacrank/fleet';
 import { PeerUpstreamSync, UpstreamTable, type UpstreamRecord } from '@acaciacrank/forwarding';
-import { MemoryNetwork } from '../../MemoryFleet/index.js';
+import { MemoryNetwork } from '../../MemoryNetwork/index.js';
 
 const service = 'lm' as ServiceName;
 const ids = ['a', 'b', 'c'] as InstanceId[];
--- a/packages/standins/src/faults/StoryContext/index.ts
+++ b/packages/standins/src/faults/StoryContext/index.ts
@@ -6,7 +6,7 @@
 import type { LocalFleet, LocalInstance } from '../../createLocalFleet/index.js';
 import { MemoryObjectStore } from '@acaciacrank/store';
 import { accountKey, budget } from '../document.js';
-import type { FaultInjector } from '../StepGate/index.js';
+import type { FaultInjector } from '../FaultInjector/index.js';
 import type { Violation } from '../types.js';
 import { FaultInjectingStore } from '../wrapInstance/index.js';
 
--- a/packages/standins/src/faults/runMatrix/index.ts
+++ b/packages/standins/src/faults/runMatrix/index.ts
@@ -5,7 +5,7 @@
 import { isKnownRed } from '../_lib/readKnownRed/index.js';
 import { checkRecords } from '../checkRecords/index.js';
 import { storyDocument } from '../document.js';
-import { FaultInjector } from '../StepGate/index.js';
+import { FaultInjector } from '../FaultInjector/index.js';
 import type { Story } from '../stories/index.js';
 import { StoryContext } from '../StoryContext/index.js';
 import {
--- a/packages/standins/src/faults/wrapInstance/index.ts
+++ b/packages/standins/src/faults/wrapInstance/index.ts
@@ -29,7 +29,7 @@
   type ServiceResponse,
   type ServiceRequest,
 } from '@acaciacrank/upstreams';
-import type { InterceptedCall, FaultInjector } from '../StepGate/index.js';
+import type { InterceptedCall, FaultInjector } from '../FaultInjector/index.js';
 
 /**
  * Wraps the clock, store, instance list, upstream clients and links of an instance.
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -2,7 +2,7 @@
  * Fakes of the platform, engines and services, and helpers shared by experiments and fault tests.
  */
 export * from './LocalGrantNetwork/index.js';
-export * from './MemoryFleet/index.js';
+export * from './MemoryNetwork/index.js';
 export * from './StandinEngine/index.js';
 export * from './StandinControl/index.js';
 export * from './StandinService/index.js';
--- a/packages/standins/src/scenarios/runScenario/index.ts
+++ b/packages/standins/src/scenarios/runScenario/index.ts
@@ -4,7 +4,7 @@
 import { createLocalFleet, type LocalFleet } from '../../createLocalFleet/index.js';
 import { budget, storyDocument } from '../../faults/document.js';
 import { checkRecords } from '../../faults/checkRecords/index.js';
-import { FaultInjector } from '../../faults/StepGate/index.js';
+import { FaultInjector } from '../../faults/FaultInjector/index.js';
 import { StoryContext, type AttemptOutcome } from '../../faults/StoryContext/index.js';
 import { wrapInstance } from '../../faults/wrapInstance/index.js';
 import type { Bounds, Scenario, ScenarioEvent, ScenarioTraffic } from '../scenarioSchema/index.js';
