--- a/packages/standins/src/faults/FaultInjector/index.ts
+++ b/packages/standins/src/faults/FaultInjector/index.ts
@@ -131,7 +131,7 @@
 
   /** Epoch that {@link silenceOpenConnections} increments; separates connections opened before a silence from later ones. */
   silenceEpoch(actor: string, call: string): number {
-    return this.#silenceEpochs.get(`${actor}>${call.split('../StepGate')[0] ?? ''}`) ?? 0;
+    return this.#silenceEpochs.get(`${actor}>${call.split('.')[0] ?? ''}`) ?? 0;
   }
 
   /** Performs one call under the planned and active faults. */
