--- a/packages/soak/src/_lib/DirectoryCheck/index.ts
+++ b/packages/soak/src/_lib/DirectoryCheck/index.ts
@@ -14,7 +14,7 @@
 export interface DirectoryCheckOptions {
   /** Milliseconds from the start of the run. */
   readonly now: () => number;
-  readonly onViolation: (promise: InvariantName, what: string) => void;
+  readonly onViolation: (invariant: InvariantName, what: string) => void;
 }
 
 /** Time after a loss of power by which directories must no longer list the instance. */
--- a/packages/soak/src/_lib/FakeUpstream/index.ts
+++ b/packages/soak/src/_lib/FakeUpstream/index.ts
@@ -20,7 +20,7 @@
 /** Fake upstream that sends plain or event-stream responses and reports the requests that it receives and runs. */
 export class FakeUpstream implements AsyncDisposable {
   /** Time at which it began to drain; undefined before. */
-  leavingSinceMs: number | undefined;
+  drainingSinceMs: number | undefined;
   /** Requests per second that it accepts from all instances combined; undefined for no limit. */
   limitPerS: number | undefined;
   /** Whether its responses omit the limit. */
@@ -65,7 +65,7 @@
       response.writeHead(421, { 'x-not-executed': '1' }).end();
       return;
     }
-    observations.noteArrival(service, id, this.leavingSinceMs);
+    observations.noteArrival(service, id, this.drainingSinceMs);
     observations.limits.noteArrival(ownId);
     const kind = requestKinds.find(({ path }) => request.url?.startsWith(path));
     const promptTokens = Number(String(request.headers['x-token-count'] ?? '0').split(',')[0]);
--- a/packages/soak/src/_lib/LimitCheck/index.ts
+++ b/packages/soak/src/_lib/LimitCheck/index.ts
@@ -5,7 +5,7 @@
 export interface LimitCheckOptions {
   /** Milliseconds from the start of the run. */
   readonly now: () => number;
-  readonly onViolation: (promise: InvariantName, what: string) => void;
+  readonly onViolation: (invariant: InvariantName, what: string) => void;
 }
 
 /** Limit that the responses of an upstream set from a point in time on; undefined for none. */
--- a/packages/soak/src/_lib/Observations/index.ts
+++ b/packages/soak/src/_lib/Observations/index.ts
@@ -73,8 +73,8 @@
   /** @param now - milliseconds from the start of the run */
   constructor(now: () => number) {
     this.#now = now;
-    const onViolation = (promise: InvariantName, what: string) => {
-      this.#addViolation(promise, what);
+    const onViolation = (invariant: InvariantName, what: string) => {
+      this.#addViolation(invariant, what);
     };
     this.directoryCheck = new DirectoryCheck({ now, onViolation });
     this.limits = new LimitCheck({ now, onViolation });
@@ -98,15 +98,15 @@
   }
 
   /** Records that an upstream received a request. */
-  noteArrival(service: string, id: string, leavingSinceMs: number | undefined): void {
+  noteArrival(service: string, id: string, drainingSinceMs: number | undefined): void {
     const nowMs = this.#now();
     this.#arrivals.push({ service, atMs: nowMs, isFirst: !this.#runs.has(id) });
-    if (leavingSinceMs === undefined || nowMs < leavingSinceMs + drainDeadlineMs + toleranceMs)
+    if (drainingSinceMs === undefined || nowMs < drainingSinceMs + drainDeadlineMs + toleranceMs)
       return;
-    if (this.#isUndisturbed(leavingSinceMs, nowMs)) {
+    if (this.#isUndisturbed(drainingSinceMs, nowMs)) {
       this.#addViolation(
         'leavingUpstream',
-        `${id} arrived ${nowMs - leavingSinceMs} ms after the upstream began to drain`,
+        `${id} arrived ${nowMs - drainingSinceMs} ms after the upstream began to drain`,
       );
     }
   }
@@ -235,7 +235,8 @@
     return !this.#disturbances.some((span) => span.fromMs <= toMs && span.toMs >= fromMs);
   }
 
-  #addViolation(promise: InvariantName, what: string): void {
-    this.violations.push({ promise, atMs: Math.round(this.#now()), what });
+  /** @param invariant - the violated invariant; the report names it in the field `promise` */
+  #addViolation(invariant: InvariantName, what: string): void {
+    this.violations.push({ promise: invariant, atMs: Math.round(this.#now()), what });
   }
 }
--- a/packages/soak/src/_lib/SoakEnvironment/index.ts
+++ b/packages/soak/src/_lib/SoakEnvironment/index.ts
@@ -114,10 +114,10 @@
   async leave(upstream: ProxiedUpstream): Promise<void> {
     const { server, proxy } = upstream;
     const index = this.upstreams.indexOf(upstream);
-    if (server.leavingSinceMs !== undefined || index < 0) return;
+    if (server.drainingSinceMs !== undefined || index < 0) return;
     this.upstreams.splice(index, 1);
     await this.#addUpstream(server.service);
-    server.leavingSinceMs = this.#options.now();
+    server.drainingSinceMs = this.#options.now();
     if (this.#options.injectedDefect === 'holdLeaving') return;
     this.#writeUpstreamRecord(upstream, 'draining');
     setTimeout(() => {
--- a/packages/soak/src/bin.ts
+++ b/packages/soak/src/bin.ts
@@ -46,8 +46,8 @@
       continue;
     }
     process.exitCode = 1;
-    for (const { promise, atMs, what } of violations.slice(0, 10)) {
-      process.stdout.write(`  ${promise} at ${atMs} ms: ${what}\n`);
+    for (const { promise: invariant, atMs, what } of violations.slice(0, 10)) {
+      process.stdout.write(`  ${invariant} at ${atMs} ms: ${what}\n`);
     }
     process.stdout.write(
       `  to reproduce: npm run soak -- --seed ${seed} --minutes ${minutes} --instances ${instances} ` +
--- a/packages/soak/src/runSoak/test.ts
+++ b/packages/soak/src/runSoak/test.ts
@@ -89,11 +89,11 @@
 
 // Guards against checks that cannot fail: each invariant is violated by an injected defect that the checks
 // do not know of, and the violation must be detected within a short run.
-for (const [injectedDefect, promise, defectOptions] of defects) {
-  test.serial(`the check of ${promise} detects the defect ${injectedDefect}`, async (t) => {
+for (const [injectedDefect, invariant, defectOptions] of defects) {
+  test.serial(`the check of ${invariant} detects the defect ${injectedDefect}`, async (t) => {
     const changes = { ...defectOptions, injectedDefect, requestsPerSecond: 120 };
     const report = await runSoak(optionsFor(injectedDefect, changes));
     const violated = new Set(report.violations.map((violation) => violation.promise));
-    t.true(violated.has(promise), `violated: ${[...violated].join(', ')}`);
+    t.true(violated.has(invariant), `violated: ${[...violated].join(', ')}`);
   });
 }
--- a/packages/standins/src/_lib/FaultyUpstreams/index.ts
+++ b/packages/standins/src/_lib/FaultyUpstreams/index.ts
@@ -30,13 +30,18 @@
   readonly engineId: string;
   readonly kind: 'generate' | 'resume';
   readonly requestId: RequestId;
+  /** Sequence number of the first token requested; 0 for `generate`. */
   readonly offset: number;
 }
 
 /** Chooses the fault of a connection; `index` counts all connections, from 0. */
 export type FaultPlan = (connection: Connection, index: number) => ConnectionFault | undefined;
 
-/** The fault of one call to a plain service; with the last two, the service still runs the call. */
+/**
+ * The fault of one call to a plain service: the connection is refused, the service answers 503 (`busy`),
+ * the connection breaks before the response (`answerLost`), or it stays open without a response
+ * (`silent`). With the last two, the service still runs the call.
+ */
 export type ServiceFault = 'refused' | 'busy' | 'answerLost' | 'silent';
 
 /** Chooses the fault of a call; `index` counts all calls to services, from 0. */
@@ -46,11 +51,12 @@
 export class FaultyUpstreams extends UpstreamClients {
   /** Every connection that was opened, in order. */
   readonly connections: Connection[] = [];
+  /** Requests that the instance cancelled at an engine, in order. */
   readonly cancelled: RequestId[] = [];
   readonly #wrapped: UpstreamClients;
   readonly #plan: FaultPlan;
   readonly #servicePlan: ServiceFaultPlan;
-  /** Replaces the adaptive time-out for gaps between tokens, to compare alternatives. */
+  /** Creates time-outs for gaps between tokens, instead of those of the clients, to compare alternatives. */
   makeTokenGaps: (() => AdaptiveTimeout) | undefined;
   /** Whether engines report the usage of a cancelled generation. */
   isReportingUsage = true;
@@ -89,10 +95,10 @@
       throw new RouterError('upstreamUnavailable', 'the connection was refused');
     }
     if (fault === 'busy') return { status: 503, headers: {}, body: Buffer.from('busy') };
-    const answer = await run();
+    const response = await run();
     if (fault === 'silent') await new Promise<never>(() => undefined);
     if (fault === 'answerLost') throw new RouterError('outcomeUnknown', 'the connection broke');
-    return answer;
+    return response;
   }
 
   /** Applies the fault plan to one connection to an engine. */
--- a/packages/standins/src/_lib/FleetSimulation/index.ts
+++ b/packages/standins/src/_lib/FleetSimulation/index.ts
@@ -42,7 +42,12 @@
     for (const id of ids) this.start(id);
   }
 
-  /** Starts an instance, replacing its previous process run if there is one. */
+  /**
+   * Starts an instance, replacing its previous process run if there is one.
+   *
+   * @param isServing - whether the instance declares itself live at once
+   * @param onPeerLive - called when a peer becomes live, initially, again or after a restart
+   */
   start(id: string, isServing = true, onPeerLive?: (peer: InstanceId) => void): FleetNode {
     this.#runs += 1;
     const { clock } = this;
--- a/packages/standins/src/_lib/RateLimitSimulation/index.ts
+++ b/packages/standins/src/_lib/RateLimitSimulation/index.ts
@@ -125,9 +125,9 @@
     for (let passedMs = 0; passedMs < forMs; passedMs += stepMs) {
       await this.fleet.clock.advance(stepMs);
       const serving = [...this.#senders].filter(([id]) => !this.#suspended.has(id));
-      const share = (requestsPerSecond * stepMs) / 1_000 / serving.length;
+      const requestsPerStep = (requestsPerSecond * stepMs) / 1_000 / serving.length;
       for (const [, sender] of serving) {
-        let due = share;
+        let due = requestsPerStep;
         while (this.#random() < due) {
           this.#send(sender);
           due -= 1;
--- a/packages/standins/src/_lib/StreamLoad/index.ts
+++ b/packages/standins/src/_lib/StreamLoad/index.ts
@@ -32,6 +32,7 @@
   seed: number;
   engineOptions?: Partial<StandinEngineOptions>;
   instanceOptions?: Partial<InstanceOptions>;
+  /** Wraps the instance's dependencies, for example to inject faults. */
   wrap?: (options: InstanceOptions) => InstanceOptions;
 }
 
--- a/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
+++ b/packages/standins/src/configuration/_lib/FaultyObjectStore/index.ts
@@ -20,11 +20,12 @@
   isReadSilent: boolean;
   /** Runs before a write reaches the store. */
   beforeWrite: ((key: string) => void | Promise<void>) | undefined;
-  /** Runs before a snapshot reaches the store; `beforeRemove` does so before a removal. */
-  beforeList: (() => Promise<void>) | undefined;
+  /** Runs before a snapshot reaches the store. */
+  beforeSnapshot: (() => Promise<void>) | undefined;
+  /** Runs before a removal reaches the store. */
   beforeRemove: (() => Promise<void>) | undefined;
   /** The next write of a manifest takes effect, this runs, and the response is lost. */
-  afterLostAnswer: (() => void | Promise<void>) | undefined;
+  afterLostResponse: (() => void | Promise<void>) | undefined;
 }
 
 /** An object store with fault injection, for one instance or operator. */
@@ -35,9 +36,9 @@
     isWatchSilent: false,
     isReadSilent: false,
     beforeWrite: undefined,
-    beforeList: undefined,
+    beforeSnapshot: undefined,
     beforeRemove: undefined,
-    afterLostAnswer: undefined,
+    afterLostResponse: undefined,
   };
   /** Total size of the values written, as JSON; counted in UTF-16 code units. */
   writtenBytes = 0;
@@ -79,10 +80,10 @@
     const result = await this.#store.write(key, value, condition);
     this.writes += 1;
     this.writtenBytes += JSON.stringify(value).length;
-    const { afterLostAnswer } = this.faults;
-    if (afterLostAnswer === undefined || !key.endsWith('manifest')) return result;
-    this.faults.afterLostAnswer = undefined;
-    await afterLostAnswer();
+    const { afterLostResponse } = this.faults;
+    if (afterLostResponse === undefined || !key.endsWith('manifest')) return result;
+    this.faults.afterLostResponse = undefined;
+    await afterLostResponse();
     throw createUnavailableError();
   }
 
@@ -94,7 +95,7 @@
 
   override async snapshot(prefix: string): Promise<StoreSnapshot> {
     this.#assertReachable();
-    await this.faults.beforeList?.();
+    await this.faults.beforeSnapshot?.();
     return this.#store.snapshot(prefix);
   }
 
--- a/packages/standins/src/configuration/acceptance/test.ts
+++ b/packages/standins/src/configuration/acceptance/test.ts
@@ -82,7 +82,7 @@
   const { clock, openStore, accept } = setUp();
   const store = openStore();
   await accept(store, 10);
-  store.faults.afterLostAnswer = () => undefined;
+  store.faults.afterLostResponse = () => undefined;
   const acceptance = await clock.runUntil(accept(store, 20));
   t.true(acceptance.isConfirmedByRead);
   t.is(acceptance.accepted.version, 2);
@@ -94,7 +94,7 @@
   const { clock, openStore, accept } = setUp();
   const [store, otherStore] = [openStore(), openStore()];
   await accept(store, 10);
-  store.faults.afterLostAnswer = async () => {
+  store.faults.afterLostResponse = async () => {
     await accept(otherStore, 30);
   };
   const acceptance = await clock.runUntil(accept(store, 20));
@@ -108,7 +108,7 @@
   const { clock, openStore, accept } = setUp();
   const store = openStore();
   await accept(store, 10);
-  store.faults.afterLostAnswer = () => {
+  store.faults.afterLostResponse = () => {
     store.faults.isDown = true;
   };
   const error = await expectRouterError(t, clock.runUntil(accept(store, 20)));
--- a/packages/standins/src/configuration/garbage/test.ts
+++ b/packages/standins/src/configuration/garbage/test.ts
@@ -86,12 +86,12 @@
 // was a year ago; its old objects are garbage until the manifest refers to them again. The garbage
 // collection of another operator has just listed them and would remove them after that acceptance.
 test('garbage that an acceptance reuses is not removed by a concurrent collection', async (t) => {
-  const { clock, store, accept, openStore: open } = setUp();
+  const { clock, store, accept, openStore } = setUp();
   const first = makeDocument({ accounts: 3, budgetsPerAccount: 2 });
   await accept(first);
   for (let round = 1; round <= 10; round += 1) await accept(withOpeningTokens(first, 0, round));
   await clock.advance(2 * hourMs);
-  const otherStore = open();
+  const otherStore = openStore();
   let secondAcceptance: Promise<Acceptance> | undefined;
   otherStore.faults.beforeRemove = async () => {
     secondAcceptance ??= acceptParsedDocument(store, clock, first, digestText('first again'));
@@ -114,10 +114,10 @@
 // Guards against removing the objects of an acceptance that has not written its manifest yet: the
 // garbage collection of another operator sees objects that nothing refers to.
 test('objects of an acceptance in progress are not removed', async (t) => {
-  const { clock, store, accept, openStore: open } = setUp();
+  const { clock, store, accept, openStore } = setUp();
   const first = makeDocument({ accounts: 3, budgetsPerAccount: 2 });
   await accept(first);
-  const otherStore = open();
+  const otherStore = openStore();
   const objectsWritten = createLatch();
   const collectionDone = createLatch();
   store.faults.beforeWrite = async (key) => {
@@ -126,7 +126,7 @@
     await collectionDone.opened;
   };
   let pendingAcceptance: Promise<Acceptance> | undefined;
-  otherStore.faults.beforeList = async () => {
+  otherStore.faults.beforeSnapshot = async () => {
     pendingAcceptance = acceptParsedDocument(
       store,
       clock,
--- a/packages/standins/src/failures/anyFault/test.ts
+++ b/packages/standins/src/failures/anyFault/test.ts
@@ -27,6 +27,7 @@
     budgets:
       - { id: one-2026, openingTokens: 100000 }
 `;
+/** The budget to read; its `openingTokens` affect none of the values that are checked. */
 const budget = { accountId: 'one' as never, budgetId: 'one-2026' as BudgetId, openingTokens: 0 };
 
 /** One caller: when it disconnects, and the index of the instance at which it retries, if it does. */
@@ -51,8 +52,8 @@
 });
 
 /**
- * Applies the faults in the order of the connections; from `lostFromIndex` on, the engine of the first
- * connection refuses every one.
+ * Applies the faults in the order of the connections. The engine of the first connection is lost for
+ * good: it refuses its connections from the index `lostFromIndex` on.
  */
 function createFaultPlan(
   plan: readonly (ConnectionFault | undefined)[],
@@ -101,12 +102,12 @@
       abort.abort();
     });
   }
-  const answers = [await receive(first, call, abort.signal)];
+  const received = [await receive(first, call, abort.signal)];
   const retryInstance =
     retryInstanceIndex === undefined ? undefined : fleet.instances[retryInstanceIndex];
   if (retryInstance !== undefined)
-    answers.push(await receive(retryInstance, call, new AbortController().signal));
-  return answers;
+    received.push(await receive(retryInstance, call, new AbortController().signal));
+  return received;
 }
 
 /** Returns the first invariant that a stream violates, or undefined. */
@@ -148,7 +149,7 @@
       }),
     });
     const pending = callers.map((caller, index) => runCaller(fleet, index, caller));
-    const answers = (await fleet.clock.runUntil(Promise.all(pending))).flat();
+    const received = (await fleet.clock.runUntil(Promise.all(pending))).flat();
     await fleet.clock.advance(120_000);
     for (const { instance } of fleet.instances) {
       if (instance.openWork > 0) return 'open work left';
@@ -157,12 +158,12 @@
     const [first] = fleet.instances as [LocalInstance];
     const status = await fleet.clock.runUntil(readBudget(first.store, budget));
     const finals = new Set(
-      answers.flatMap(({ frames }) => frames.filter(({ kind }) => kind === 'final')),
+      received.flatMap(({ frames }) => frames.filter(({ kind }) => kind === 'final')),
     );
     if (status.grantedTokens > 0) return 'tokens still reserved';
     if (status.bills > callers.length) return 'more bills than requests';
     if (finals.size > 0 && status.bills === 0) return 'response without a bill';
-    return answers.map(findViolation).find((violation) => violation !== undefined);
+    return received.map(findViolation).find((violation) => violation !== undefined);
   };
   const property = fc.asyncProperty(
     fc.array(faultArbitrary, { maxLength: 20 }),
--- a/packages/standins/src/failures/anyServiceFault/test.ts
+++ b/packages/standins/src/failures/anyServiceFault/test.ts
@@ -22,6 +22,7 @@
     budgets:
       - { id: one-2026, openingTokens: 1000 }
 `;
+/** The budget to read; its `openingTokens` affect none of the values that are checked. */
 const budget = { accountId: 'one' as never, budgetId: 'one-2026' as BudgetId, openingTokens: 0 };
 
 /**
--- a/packages/standins/src/failures/engineOrders/test.ts
+++ b/packages/standins/src/failures/engineOrders/test.ts
@@ -17,6 +17,7 @@
 `;
 }
 
+/** Setting of a service: the model version that its engines must load, and the rate limit of loads. */
 const holds = ', holds: { models: [{ model: small, version: v2 }], loadsPerMinute: 60 }';
 
 function loadedVersions(fleet: LocalFleet): (string | undefined)[] {
--- a/packages/standins/src/failures/fleet/test.ts
+++ b/packages/standins/src/failures/fleet/test.ts
@@ -157,7 +157,8 @@
   t.is(simulation.nodes.get('b')?.metrics.counter('configurationsFromPeers'), 0);
 });
 
-// Guards against the two sides of a network partition that each retry as if the other were lost.
+// Instances divide the allowance for additional retries equally. Guards against the two sides of a network
+// partition that each retry as if the other were lost.
 test('an instance that may still run beyond a partition keeps its share', async (t) => {
   const simulation = await setUp(1);
   simulation.setStoreUnavailable(ids);
@@ -167,7 +168,7 @@
   for (const id of ids) t.is(simulation.nodes.get(id)?.fleet.sharingInstanceCount, ids.length, id);
 });
 
-// Guards against the share of a lost instance that stays unused.
+// Guards against a lost instance whose share of the allowance stays unused.
 test('a lost instance loses its share once nothing reports it as running any more', async (t) => {
   const simulation = await setUp(1);
   simulation.powerOff('c');
@@ -178,7 +179,8 @@
     t.is(simulation.nodes.get(id)?.fleet.sharingInstanceCount, 4, id);
 });
 
-// Guards against an instance that uses all of a shared limit before it has discovered the others.
+// Guards against an instance that uses the whole allowance before it has discovered the others: until
+// then their number counts as infinite.
 test('an instance that has not read the list yet uses no share', (t) => {
   const simulation = new FleetSimulation(1, []);
   t.is(simulation.start('a').fleet.sharingInstanceCount, Infinity);
--- a/packages/standins/src/failures/ledger/test.ts
+++ b/packages/standins/src/failures/ledger/test.ts
@@ -287,8 +287,8 @@
     this.violations.push(`${settledTokens} settled and ${committedTokens} reserved`);
   }
 
-  #selectUnsettled(number: number): OpenRequest | undefined {
-    return this.#openRequests.filter((open) => !open.isSettling)[number];
+  #selectUnsettled(unsettledIndex: number): OpenRequest | undefined {
+    return this.#openRequests.filter((open) => !open.isSettling)[unsettledIndex];
   }
 
   #release(open: OpenRequest | undefined): void {
@@ -312,8 +312,8 @@
   }
 
   /** Bills the same key at another instance, as a retry does while the first attempt still runs. */
-  async #settleElsewhere(number: number, index: number): Promise<void> {
-    const first = this.#selectUnsettled(number);
+  async #settleElsewhere(unsettledIndex: number, index: number): Promise<void> {
+    const first = this.#selectUnsettled(unsettledIndex);
     const ledger = this.#instances[index]?.ledger;
     if (first === undefined || ledger === undefined) return;
     const { tokens } = first.reservation;
--- a/packages/standins/src/failures/ledgerBounds/test.ts
+++ b/packages/standins/src/failures/ledgerBounds/test.ts
@@ -129,17 +129,17 @@
 // counted but not charged.
 test('a bill after a long pause is charged only what is left of the budget', async (t) => {
   const { clock, instance } = setUp({ policy: new FixedGrantPolicy(100_000) });
-  const [frozen, other] = [instance('i1'), instance('i2')];
-  const lateReservation = await clock.runUntil(frozen.ledger.reserve(budget, 500));
-  frozen.ledger[Symbol.dispose]();
+  const [suspended, other] = [instance('i1'), instance('i2')];
+  const lateReservation = await clock.runUntil(suspended.ledger.reserve(budget, 500));
+  suspended.ledger[Symbol.dispose]();
   await clock.advance(1_800_000);
-  t.false(frozen.ledger.isSpendable(lateReservation));
+  t.false(suspended.ledger.isSpendable(lateReservation));
   const held = await clock.runUntil(other.ledger.reserve(budget, 99_800));
   await clock.runUntil(other.ledger.settle(held, request('k2', 99_800)));
   await clock.runUntil(other.ledger.closeAll());
-  const bill = await clock.runUntil(frozen.ledger.settle(lateReservation, request('k1', 500)));
+  const bill = await clock.runUntil(suspended.ledger.settle(lateReservation, request('k1', 500)));
   t.like(bill, { tokens: 200, unbillableTokens: 300 });
-  t.is(frozen.ledger.counts.unbillableTokens, 300);
+  t.is(suspended.ledger.counts.unbillableTokens, 300);
 });
 
 test('amounts that are not positive whole numbers, or too large, are refused and nothing is written', async (t) => {
--- a/packages/standins/src/failures/orders/test.ts
+++ b/packages/standins/src/failures/orders/test.ts
@@ -78,7 +78,7 @@
       maxSkewMs: skewMs,
     });
     const metrics = new Metrics();
-    const rate = new WeightLoadRateLimiter({ clock, loadsPerMinute: 60 });
+    const rateLimiter = new WeightLoadRateLimiter({ clock, loadsPerMinute: 60 });
     const clients = this.engines.map((engine) => new PausingClient(engine));
     const engines = () =>
       clients.map((engine, index) => ({
@@ -95,7 +95,7 @@
       clock,
       metrics,
       lease,
-      rateLimiter: rate,
+      rateLimiter,
       engines,
     });
     const holder: Holder = { reconciler, lease, metrics, store, clients, version };
--- a/packages/standins/src/failures/prepaid/test.ts
+++ b/packages/standins/src/failures/prepaid/test.ts
@@ -15,7 +15,7 @@
   if (!set.delete(name)) set.add(name);
 }
 
-/** What a holder has spent, plus what it may spend without a call to the store. */
+/** What a holder has spent, plus its stock: what it may spend without a call to the store or a peer. */
 function maxTotalSpend({ ledger, spentTokens }: Holder): number {
   return spentTokens + Math.max(0, ledger.stockTokens(accountId));
 }
@@ -135,7 +135,7 @@
 });
 
 // Guards against unused tokens that are lost when a process crashes. All callers of an account use one
-// instance. Of the others, only the one that pools the account's stock may hold more than a hundredth
+// instance. Of the others, only the account's home, which pools its stock, may hold more than a hundredth
 // of its tokens, and all unused stock together is bounded.
 test("instances that an account's callers do not use hold little but its pooled stock", async (t) => {
   const simulation = createSimulation(15, 5_000_000);
@@ -146,13 +146,13 @@
     await simulation.clock.advance(100);
     await spend(simulation, used, 4_000);
   }
-  const home = simulation.network.homeOf(accountId, used.processRun.instanceId);
+  const homeInstanceId = simulation.network.homeOf(accountId, used.processRun.instanceId);
   for (const { ledger, processRun } of others) {
-    const limit = processRun.instanceId === home ? 0.25 : 0.01;
+    const limit = processRun.instanceId === homeInstanceId ? 0.25 : 0.01;
     t.true(ledger.stockTokens(accountId) < limit * 5_000_000);
   }
-  const idle = holders.reduce((sum, { ledger }) => sum + ledger.stockTokens(accountId), 0);
-  t.true(idle < 0.25 * 5_000_000);
+  const unusedTokens = holders.reduce((sum, { ledger }) => sum + ledger.stockTokens(accountId), 0);
+  t.true(unusedTokens < 0.25 * 5_000_000);
 });
 
 // Guards against refusals at the busiest instance while others hold unused tokens. The store is
@@ -218,8 +218,8 @@
   const simulation = createSimulation(19, 10_000_000);
   const holders = [0, 1, 2, 3].map((i) => startHolder(simulation, i, { lost: 0, late: 0 }));
   await simulation.clock.advance(3_000);
-  const home = simulation.network.homeOf(accountId, 'i0' as InstanceId);
-  const disconnected = holders.find(({ processRun }) => processRun.instanceId === home);
+  const homeInstanceId = simulation.network.homeOf(accountId, 'i0' as InstanceId);
+  const disconnected = holders.find(({ processRun }) => processRun.instanceId === homeInstanceId);
   if (disconnected === undefined) return;
   disconnected.cut.isUnavailable = true;
   let refused = 0;
--- a/packages/standins/src/failures/services/test.ts
+++ b/packages/standins/src/failures/services/test.ts
@@ -59,8 +59,8 @@
   };
 }
 
-function callService(local: LocalInstance, serviceCall: ServiceCall): Promise<ServiceResponse> {
-  return local.instance.services.run(serviceCall, new AbortController().signal);
+function callService(local: LocalInstance, call: ServiceCall): Promise<ServiceResponse> {
+  return local.instance.services.run(call, new AbortController().signal);
 }
 
 async function catchRouterError(work: Promise<unknown>): Promise<RouterError | undefined> {
@@ -84,6 +84,7 @@
     t.is(instance.openWork, 0);
     await fleet.clock.runUntil(instance.ledger.closeAll());
   }
+  // `openingTokens` affects none of the values that are read.
   const budget = { accountId: 'one' as never, budgetId: budgetId as BudgetId, openingTokens: 0 };
   const status = await fleet.clock.runUntil(readBudget(first.store, budget));
   t.is(status.grantedTokens, 0);
@@ -136,9 +137,9 @@
   t.is(countRuns(fixture), 0);
   t.deepEqual(await readBudgetTotals(t, fixture), { bills: 0, settledTokens: 0 });
   isDown = false;
-  const answer = await fleet.clock.runUntil(callService(second, serviceCall('c1')));
+  const response = await fleet.clock.runUntil(callService(second, serviceCall('c1')));
   const again = await fleet.clock.runUntil(callService(first, serviceCall('c1')));
-  t.deepEqual(Buffer.from(again.body), Buffer.from(answer.body));
+  t.deepEqual(Buffer.from(again.body), Buffer.from(response.body));
   t.is(countRuns(fixture), 1);
   t.deepEqual(await readBudgetTotals(t, fixture), { bills: 1, settledTokens: 5 });
 });
@@ -231,10 +232,10 @@
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const startedMs = fleet.clock.monotonicMs();
-  const answer = await fleet.clock.runUntil(
+  const response = await fleet.clock.runUntil(
     callService(first, serviceCall('g1', { method: 'GET' })),
   );
-  t.is(answer.status, 200);
+  t.is(response.status, 200);
   t.true(fleet.clock.monotonicMs() - startedMs < 2_000);
   t.deepEqual(await readBudgetTotals(t, fixture), { bills: 1, settledTokens: 5 });
 });
@@ -243,11 +244,11 @@
   const fixture = await createFixture(() => 'busy');
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const answer = await fleet.clock.runUntil(
+  const response = await fleet.clock.runUntil(
     callService(first, serviceCall('g1', { method: 'GET' })),
   );
-  t.is(answer.status, 503);
-  t.is(Buffer.from(answer.body).toString(), 'busy');
+  t.is(response.status, 503);
+  t.is(Buffer.from(response.body).toString(), 'busy');
 });
 
 // Guards against retries that multiply the load on failing services: all three break every connection,
--- a/packages/standins/src/failures/streams/test.ts
+++ b/packages/standins/src/failures/streams/test.ts
@@ -128,8 +128,8 @@
   const fixture = await createFixture(plan);
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.true(isComplete(answer));
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1')));
+  t.true(isComplete(received));
   t.deepEqual(
     fixture.upstreams[0]?.connections.map(({ kind, offset }) => [kind, offset]),
     [
@@ -155,8 +155,8 @@
   await fleet.clock.runUntil(receive(first, chatCall('teaches the gaps')));
   isSilent = true;
   const startedMs = fleet.clock.monotonicMs();
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.true(isComplete(answer));
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1')));
+  t.true(isComplete(received));
   // The time-out is at least 1 s; its maximum of 10 s applies before any gap is known.
   t.true(fleet.clock.monotonicMs() - startedMs < 9_000);
   t.is(first.instance.metrics.counter('resumes'), 1);
@@ -174,8 +174,8 @@
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
   const call = { ...chatCall('k1', 'shift'), maxTokens: 20 };
-  const answer = await fleet.clock.runUntil(receive(first, call));
-  t.true(isComplete(answer));
+  const received = await fleet.clock.runUntil(receive(first, call));
+  t.true(isComplete(received));
   t.is(fixture.upstreams[0]?.cancelled.length, 1);
   t.is((await readStatus(fixture)).bills, 1);
   await assertNoTokensReserved(t, fixture);
@@ -189,9 +189,9 @@
   const fixture = await createFixture(plan);
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.is(answer.frames.length, 3);
-  t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1')));
+  t.is(received.frames.length, 3);
+  t.like(received.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
   t.is(new Set(fixture.upstreams[0]?.connections.map(({ engineId }) => engineId)).size, 1);
   // A request that an upstream failed is not billed; its retry is billed, once.
   t.is((await readStatus(fixture)).bills, 0);
@@ -207,8 +207,8 @@
   const fixture = await createFixture(plan);
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1')));
+  t.like(received.error, { kind: 'upstreamUnavailable', ran: 'unknown' });
   await assertNoTokensReserved(t, fixture);
 });
 
@@ -216,8 +216,8 @@
   const fixture = await createFixture(() => ({ kind: 'refused' }));
   await using fleet = fixture.fleet;
   const [first] = fleet.instances as [LocalInstance];
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1')));
-  t.like(answer.error, { kind: 'upstreamUnavailable', ran: 'notRun', claimScope: 'attempt' });
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1')));
+  t.like(received.error, { kind: 'upstreamUnavailable', ran: 'notRun', claimScope: 'attempt' });
   t.is(recordsOf(fleet).length, 0);
   await assertNoTokensReserved(t, fixture);
 });
@@ -230,13 +230,13 @@
   const [first] = fleet.instances as [LocalInstance];
   const call = { ...chatCall('k1', 'shift', 'x'.repeat(400)), maxTokens: 2_000 };
   const startedMs = fleet.clock.monotonicMs();
-  const answer = await fleet.clock.runUntil(receive(first, call));
+  const received = await fleet.clock.runUntil(receive(first, call));
   t.is(fleet.clock.monotonicMs() - startedMs, 6_000);
-  t.like(answer.error, { kind: 'deadlineExceeded', ran: 'unknown' });
+  t.like(received.error, { kind: 'deadlineExceeded', ran: 'unknown' });
   await fleet.clock.advance(1_000);
   const [record] = recordsOf(fleet);
   t.is(record?.state, 'cancelled');
-  t.is(record?.outputTokens, answer.frames.length);
+  t.is(record?.outputTokens, received.frames.length);
   const status = await readStatus(fixture);
   t.deepEqual([status.bills, status.settledTokens], [1, usedTokens(record)]);
   await assertNoTokensReserved(t, fixture);
@@ -250,10 +250,10 @@
   const [first] = fleet.instances as [LocalInstance];
   const abort = new AbortController();
   const call = { ...chatCall('k1'), maxTokens: 40 };
-  const leaving = receive(first, call, abort.signal);
+  const disconnected = receive(first, call, abort.signal);
   await fleet.clock.advance(300);
   abort.abort();
-  t.like((await fleet.clock.runUntil(leaving)).error, { kind: 'cancelled', ran: 'unknown' });
+  t.like((await fleet.clock.runUntil(disconnected)).error, { kind: 'cancelled', ran: 'unknown' });
   const again = await fleet.clock.runUntil(receive(first, call));
   t.true(isComplete(again));
   const status = await readStatus(fixture);
@@ -273,10 +273,10 @@
   const [first, second] = fleet.instances as [LocalInstance, LocalInstance];
   const abort = new AbortController();
   const call = { ...chatCall('k1', 'review', 'x'.repeat(400)), maxTokens: 2_000 };
-  const leaving = receive(first, call, abort.signal);
+  const disconnected = receive(first, call, abort.signal);
   await fleet.clock.advance(1_000);
   abort.abort();
-  t.like((await fleet.clock.runUntil(leaving)).error, { kind: 'cancelled' });
+  t.like((await fleet.clock.runUntil(disconnected)).error, { kind: 'cancelled' });
   await fleet.clock.advance(7_000);
   t.is(first.instance.openWork, 0);
   const [record] = recordsOf(fleet);
@@ -299,10 +299,10 @@
   const [upstreams] = fixture.upstreams as [FaultyUpstreams];
   upstreams.isReportingUsage = false;
   const call = { ...chatCall('k1', 'shift', 'x'.repeat(400)), maxTokens: 2_000 };
-  const answer = await fleet.clock.runUntil(receive(first, call));
+  const received = await fleet.clock.runUntil(receive(first, call));
   await fleet.clock.advance(1_000);
-  t.like(answer.error, { kind: 'deadlineExceeded' });
-  t.is((await readStatus(fixture)).settledTokens, answer.frames.length);
+  t.like(received.error, { kind: 'deadlineExceeded' });
+  t.is((await readStatus(fixture)).settledTokens, received.frames.length);
   await assertNoTokensReserved(t, fixture);
 });
 
@@ -314,9 +314,9 @@
   const [first] = fleet.instances as [LocalInstance];
   const [upstreams] = fixture.upstreams as [FaultyUpstreams];
   upstreams.isIgnoringMaxTokens = true;
-  const answer = await fleet.clock.runUntil(receive(first, { ...chatCall('k1'), maxTokens: 10 }));
-  t.is(answer.frames.length, 10);
-  t.like(answer.error, { kind: 'upstreamFailed', ran: 'unknown' });
+  const received = await fleet.clock.runUntil(receive(first, { ...chatCall('k1'), maxTokens: 10 }));
+  t.is(received.frames.length, 10);
+  t.like(received.error, { kind: 'upstreamFailed', ran: 'unknown' });
   await assertNoTokensReserved(t, fixture);
 });
 
@@ -329,8 +329,8 @@
   const one = receive(first, chatCall('k1'));
   await fleet.clock.advance(200);
   const two = receive(first, chatCall('k1'));
-  const answers = await fleet.clock.runUntil(Promise.all([one, two]));
-  t.deepEqual(answers.map(isComplete), [true, true]);
+  const received = await fleet.clock.runUntil(Promise.all([one, two]));
+  t.deepEqual(received.map(isComplete), [true, true]);
   t.is(recordsOf(fleet).length, 1);
   t.is((await readStatus(fixture)).bills, 1);
   await assertNoTokensReserved(t, fixture);
@@ -353,8 +353,8 @@
   t.like(other.error, { kind: 'keyReused', ran: 'notRun' });
   const next = await fleet.clock.runUntil(receive(second, { ...lastCall, idempotencyKey: 'k2' }));
   t.like(next.error, { kind: 'budgetExhausted', ran: 'notRun', claimScope: 'attempt' });
-  const account = { ...budget, budgetId: lastCall.budgetId };
-  const status = await fleet.clock.runUntil(readBudget(first.store, account));
+  const lastBudget = { ...budget, budgetId: lastCall.budgetId };
+  const status = await fleet.clock.runUntil(readBudget(first.store, lastBudget));
   t.is(status.bills, 1);
 });
 
@@ -385,9 +385,9 @@
   const [first] = fleet.instances as [LocalInstance];
   first.store.link.delayMs = 3_000;
   const startedMs = fleet.clock.monotonicMs();
-  const answer = await fleet.clock.runUntil(receive(first, chatCall('k1', 'shift')));
+  const received = await fleet.clock.runUntil(receive(first, chatCall('k1', 'shift')));
   t.is(fleet.clock.monotonicMs() - startedMs, 4_000);
-  t.like(answer.error, { kind: 'deadlineExceeded', ran: 'notRun', claimScope: 'attempt' });
+  t.like(received.error, { kind: 'deadlineExceeded', ran: 'notRun', claimScope: 'attempt' });
   await fleet.clock.advance(5_000);
   first.store.link.delayMs = 0;
   t.is(recordsOf(fleet).length, 0);
@@ -405,9 +405,9 @@
   const running = receive(first, chatCall('k1', 'shift'));
   await fleet.clock.advance(100);
   first.store.link.isDown = true;
-  const held = await fleet.clock.runUntil(running);
-  t.like(held.error, { kind: 'storeUnavailable', ran: 'ran', claimScope: 'request' });
-  t.is(typeof held.error?.retryAfterMs, 'number');
+  const received = await fleet.clock.runUntil(running);
+  t.like(received.error, { kind: 'storeUnavailable', ran: 'ran', claimScope: 'request' });
+  t.is(typeof received.error?.retryAfterMs, 'number');
   t.true(fleet.clock.monotonicMs() - startedMs < 600_000);
   await fleet.clock.advance(600_000);
   first.store.link.isDown = false;
