--- a/packages/standins/src/LocalLoanNetwork/index.ts
+++ b/packages/standins/src/LocalLoanNetwork/index.ts
@@ -45,7 +45,10 @@
     };
   }
 
-  /** The home of an account, at which its stock is concentrated, as one instance sees it. */
+  /**
+   * The home of an account, at which its stock of prepaid tokens is concentrated, as one instance sees
+   * it; the instance itself if it is cut off.
+   */
   homeOf(accountId: AccountId, fromInstanceId: InstanceId): InstanceId {
     return this.rankInstances(accountId, fromInstanceId)[0] ?? fromInstanceId;
   }
--- a/packages/standins/src/MemoryNetwork/index.ts
+++ b/packages/standins/src/MemoryNetwork/index.ts
@@ -124,12 +124,12 @@
     receivedBytes: 0,
     lostMessages: 0,
   };
-  readonly #fleet: MemoryNetwork;
+  readonly #network: MemoryNetwork;
   #isClosed = false;
 
-  constructor(fleet: MemoryNetwork, id: InstanceId) {
+  constructor(network: MemoryNetwork, id: InstanceId) {
     super();
-    this.#fleet = fleet;
+    this.#network = network;
     this.id = id;
   }
 
@@ -145,7 +145,7 @@
     const frame = encodeFrame(message);
     this.traffic.sentMessages += 1;
     this.traffic.sentBytes += frame.length;
-    this.#fleet.transmit(this, to, frame);
+    this.#network.transmit(this, to, frame);
   }
 
   /**
--- a/packages/standins/src/StandinEngine/index.ts
+++ b/packages/standins/src/StandinEngine/index.ts
@@ -37,7 +37,7 @@
 
 /**
  * Simulated failure: `failing` rejects every request immediately and `mute` accepts requests but never
- * responds. In both cases the reported load is low.
+ * responds. In both cases no request enters the batch, so that the reported load is low.
  */
 export type EngineFailureMode = 'none' | 'failing' | 'mute';
 
--- a/packages/standins/src/compareWithRecords/index.ts
+++ b/packages/standins/src/compareWithRecords/index.ts
@@ -20,8 +20,8 @@
 /**
  * Compares the ledger with what the fake upstreams executed.
  *
- * Every completed generation must have one bill for exactly its tokens; no budget may have spent or
- * reserved more than was prepaid; no write to a plain service may have been executed twice.
+ * Every completed generation must have one bill for exactly its tokens; the settled and granted tokens of
+ * a budget must not exceed its prepaid tokens; no write to a plain service may have been executed twice.
  *
  * @param records - the ledger objects and the records of the upstreams
  * @returns the differences; empty if the ledger is correct
--- a/packages/standins/src/experiments/configuration-size/index.ts
+++ b/packages/standins/src/experiments/configuration-size/index.ts
@@ -31,6 +31,7 @@
  */
 const leafSizes = [2_048, 32_768];
 const priorVersions = 8;
+/** Configuration changes per day in the target fleet. */
 const changesPerDay = 19_000;
 const secondsPerDay = 86_400;
 
--- a/packages/standins/src/experiments/grants/_lib/cases/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/cases/index.ts
@@ -5,7 +5,7 @@
 
 /** Arrival period of the requests of one run, in milliseconds of virtual time. */
 export const runMs = 15 * millisecondsInMinute;
-/** Number of entry instances. */
+/** Number of router instances. */
 export const instanceCount = 5;
 /** Indexes of the instances that a partition cuts off from the store and from the other instances. */
 export const cutOffInstances: ReadonlySet<number> = new Set([3, 4]);
--- a/packages/standins/src/experiments/grants/_lib/runPolicy/index.ts
+++ b/packages/standins/src/experiments/grants/_lib/runPolicy/index.ts
@@ -41,6 +41,7 @@
   readonly refused: ReadonlySet<number>;
   /** Tokens generated or settled beyond the prepaid tokens, summed over all budgets. */
   readonly overspendTokens: number;
+  /** Tokens that are still granted to instances at the audit, summed over all budgets. */
   readonly strandedTokens: number;
   readonly calls: PlatformCalls;
 }
--- a/packages/standins/src/experiments/grants/index.ts
+++ b/packages/standins/src/experiments/grants/index.ts
@@ -31,7 +31,7 @@
 const defaultPolicy = 'demand';
 
 /** One row of the result table. */
-interface Cell {
+interface GrantRow {
   readonly deployment: string;
   readonly policy: string;
   readonly isDefault: boolean;
@@ -46,13 +46,14 @@
 }
 
 /**
- * Runs all policies and both oracles for each deployment, fault case and seed.
+ * Runs all policies and both oracles (ideal central counters, one of them divided by the partition) for
+ * each deployment, fault case and seed.
  *
  * @param options - the first seed
  * @returns one row for each run
  */
 export async function run(options: { readonly seed: number }): Promise<readonly ResultRow[]> {
-  const rows: Cell[] = [];
+  const rows: GrantRow[] = [];
   for (const deployment of deployments) {
     for (const faultCase of faultCases) {
       for (let offset = 0; offset < seedsPerCase; offset += 1) {
@@ -68,7 +69,7 @@
   deployment: Deployment,
   faultCase: FaultCase,
   seed: number,
-): Promise<Cell[]> {
+): Promise<GrantRow[]> {
   const size = { seed, durationMs: runMs, requestsPerSecond };
   const requests = drawWorkload(deployment, size);
   const budgets = budgetsOf(deployment, size);
@@ -84,9 +85,9 @@
   const refusedByOneSided = new Set(
     requests.map(({ index }) => index).filter((index) => !admittedByOneSided.has(index)),
   );
-  const rows: Cell[] = [
-    oracleCell(sharedColumns, 'oracleCentral', 0),
-    oracleCell(
+  const rows: GrantRow[] = [
+    createOracleRow(sharedColumns, 'oracleCentral', 0),
+    createOracleRow(
       sharedColumns,
       'oracleOneSide',
       falseRefusalPercent(refusedByOneSided, admittedByCentral),
@@ -110,11 +111,11 @@
 }
 
 /** An oracle strands no tokens and makes no store calls. */
-function oracleCell(
-  sharedColumns: Pick<Cell, 'deployment' | 'case' | 'seed' | 'requests'>,
+function createOracleRow(
+  sharedColumns: Pick<GrantRow, 'deployment' | 'case' | 'seed' | 'requests'>,
   policy: string,
   percent: number,
-): Cell {
+): GrantRow {
   return {
     ...sharedColumns,
     policy,
--- a/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
+++ b/packages/standins/src/experiments/membership/_lib/rollingReplacement/test.ts
@@ -38,14 +38,15 @@
     },
   });
   const [first] = fleet.instances as [LocalInstance, LocalInstance];
-  const named = () => first.instance.findInstances('key', undefined).instances.map(({ id }) => id);
+  const directoryIds = () =>
+    first.instance.findInstances('key', undefined).instances.map(({ id }) => id);
   await fleet.clock.advance(5_000);
   isDown = true;
   const addedInstance = await fleet.addInstance('i3', 'fd3');
   await fleet.clock.advance(5_000);
   t.false(addedInstance.instance.isAccepting);
   t.is(first.instance.directory.usableInstanceCount, 2);
-  t.false(named().includes(addedInstance.id), named().join());
+  t.false(directoryIds().includes(addedInstance.id), directoryIds().join());
   isDown = false;
   await fleet.clock.advance(10_000);
   t.true(addedInstance.instance.isAccepting);
--- a/packages/standins/src/experiments/silence/index.ts
+++ b/packages/standins/src/experiments/silence/index.ts
@@ -24,7 +24,8 @@
  */
 const stall = { everyMs: 1_000, share: 0.15, longestMs: 3_000, factor: 60 };
 
-const bounds: Readonly<Record<string, AdaptiveTimeoutOptions>> = {
+/** The compared timeouts by the name that the `bound` column shows; `learnt` is the adaptive one. */
+const timeouts: Readonly<Record<string, AdaptiveTimeoutOptions>> = {
   fixed500Ms: { floorMs: 500, ceilingMs: 500 },
   fixed2s: { floorMs: 2_000, ceilingMs: 2_000 },
   fixed10s: { floorMs: 10_000, ceilingMs: 10_000 },
@@ -54,13 +55,17 @@
 /** Runs each fault case with each timeout. */
 export async function run({ seed }: RunOptions): Promise<readonly ResultRow[]> {
   const rows: ResultRow[] = [];
-  for (const bound of Object.keys(bounds)) {
-    for (const silenceCase of cases) rows.push(await runCell(bound, silenceCase, seed));
+  for (const timeoutName of Object.keys(timeouts)) {
+    for (const silenceCase of cases) rows.push(await runCell(timeoutName, silenceCase, seed));
   }
   return rows;
 }
 
-async function runCell(bound: string, silenceCase: SilenceCase, seed: number): Promise<ResultRow> {
+async function runCell(
+  timeoutName: string,
+  silenceCase: SilenceCase,
+  seed: number,
+): Promise<ResultRow> {
   const faults = { injectedCount: 0 };
   await using load = await StreamLoad.start({
     seed,
@@ -70,7 +75,7 @@
         parts.clients,
         createFaultPlan(silenceCase, seed, faults),
       );
-      const options = bounds[bound];
+      const options = timeouts[timeoutName];
       if (options !== undefined) clients.makeTokenGaps = () => new AdaptiveTimeout(options);
       return { ...parts, clients };
     },
@@ -85,8 +90,8 @@
   const outcomes = await clock.runUntil(Promise.all(reads));
   const resumes = load.instance.metrics.counter('resumes');
   return {
-    bound,
-    isDefault: bound === 'learnt',
+    bound: timeoutName,
+    isDefault: timeoutName === 'learnt',
     case: silenceCase.name,
     seed,
     requests: requestCount,
--- a/packages/standins/src/faults/FaultInjector/index.ts
+++ b/packages/standins/src/faults/FaultInjector/index.ts
@@ -129,7 +129,12 @@
     this.#silenceEpochs.set(`${actor}>${peer}`, this.silenceEpoch(actor, peer) + 1);
   }
 
-  /** Epoch that {@link silenceOpenConnections} increments; separates connections opened before a silence from later ones. */
+  /**
+   * Epoch that {@link silenceOpenConnections} increments; separates connections opened before a silence
+   * from later ones.
+   *
+   * @param call - a peer, or one of its operations such as `store.write`
+   */
   silenceEpoch(actor: string, call: string): number {
     return this.#silenceEpochs.get(`${actor}>${call.split('.')[0] ?? ''}`) ?? 0;
   }
@@ -185,13 +190,17 @@
     return new RouterError('storeUnavailable', 'the platform did not answer');
   }
 
+  /**
+   * Fails a call that gets no response: after the client's timeout if it goes to the platform, after
+   * `pauseMs` if it goes to an upstream, and earlier if it is aborted.
+   */
   async #failAfterTimeout<Value>(intercepted: InterceptedCall<Value>): Promise<Value> {
     await this.#clock.sleep(intercepted.isPlatform ? clientTimeoutMs : pauseMs, intercepted.signal);
     await this.#untilResumed(intercepted.actor);
     throw intercepted.lostResponseError();
   }
 
-  /** Waits for the end of a pause; never returns for a crashed actor. */
+  /** Waits until an actor is not paused; never settles if the actor has crashed. */
   async #untilResumed(actor: string): Promise<void> {
     if (this.hasCrashed(actor)) await new Promise<never>(() => undefined);
     const waitMs = this.pausedUntilMs(actor) - this.#clock.monotonicMs();
--- a/packages/standins/src/faults/checkRecords/index.ts
+++ b/packages/standins/src/faults/checkRecords/index.ts
@@ -11,7 +11,8 @@
 
 /**
  * Checks all invariants against the records of the fake upstreams, the stored objects and what callers
- * received, never against what the instances report about themselves.
+ * received, never against what the instances report about themselves. The one exception is the
+ * configuration version in force, which only the instances know.
  *
  * @param context - the context of a completed story
  * @returns the violations; empty if all invariants hold
@@ -100,11 +101,12 @@
   ];
 }
 
+/** The text of a completed generation; a placeholder that no answer equals if it did not complete. */
 function completeText(record: EngineRecord): string {
   const tokens = Array.from({ length: record.outputTokens }, (_, sequence) =>
     tokenText(record.requestId, sequence),
   );
-  return record.state === 'done' ? tokens.join('') : '(not whole)';
+  return record.state === 'done' ? tokens.join('') : '(incomplete)';
 }
 
 function runViolations(runs: readonly ServiceRun[]): Violation[] {
@@ -179,7 +181,7 @@
   return context.fleet.instances
     .filter(({ id }) => !context.injector.hasCrashed(id))
     .filter(({ instance }) => instance.configuration.inForce.value?.version !== version)
-    .map(({ id }) => violation('versionReachesAll', `${id} does not act on version ${version}`));
+    .map(({ id }) => violation('versionReachesAll', `${id} has not applied version ${version}`));
 }
 
 function topUpViolations(context: StoryContext): Violation[] {
--- a/packages/standins/src/faults/mutations/index.ts
+++ b/packages/standins/src/faults/mutations/index.ts
@@ -134,7 +134,7 @@
   }
 }
 
-/** Hides the stored intents of requests and writes new ones unconditionally. */
+/** Hides the intents of requests, which are stored before a call is dispatched, and writes new ones unconditionally. */
 class IntentIgnoringStore extends DelegatingStore {
   override write(key: string, value: unknown, condition: WriteCondition): Promise<WriteResult> {
     const isIntent = key.startsWith('requests/');
@@ -275,8 +275,8 @@
     signal: AbortSignal,
   ): AsyncIterable<EngineFrame> {
     for await (const frame of super.generate(request, signal)) {
-      const isSpliced = frame.kind === 'token' && frame.sequence === 1;
-      yield isSpliced ? { ...frame, text: 'other ' } : frame;
+      const isReplaced = frame.kind === 'token' && frame.sequence === 1;
+      yield isReplaced ? { ...frame, text: 'other ' } : frame;
     }
   }
 }
--- a/packages/standins/src/faults/wrapInstance/index.ts
+++ b/packages/standins/src/faults/wrapInstance/index.ts
@@ -1,5 +1,5 @@
 /**
- * Injects faults between an instance and its environment.
+ * Injects faults between an instance and its external dependencies.
  */
 import { Clock, RouterError, type InstanceId, type RequestId } from '@acaciacrank/base';
 import { FleetLinks, NoFleetLinks, type FleetMessage, type FleetPeer } from '@acaciacrank/fleet';
--- a/packages/standins/src/operatorCommands/test.ts
+++ b/packages/standins/src/operatorCommands/test.ts
@@ -56,13 +56,13 @@
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   const store = new MemoryObjectStore(platform, clock);
-  const operatorPorts = new LocalOperatorPortClient();
+  const operatorPortClient = new LocalOperatorPortClient();
   const instanceList = new MemoryInstanceList(platform, store.link);
   const context: CommandContext = {
     clock,
     store,
     instanceList,
-    operatorPortClient: operatorPorts,
+    operatorPortClient,
     waitMs: 10_000,
   };
   const start = async (id: string, environment: string) => {
@@ -74,10 +74,15 @@
       state: 'live',
       environment,
     });
-    const own = environmentStore(new MemoryObjectStore(platform, clock), environment);
+    const instanceStore = environmentStore(new MemoryObjectStore(platform, clock), environment);
     const instanceId = id as InstanceId;
-    const watcher = new ConfigurationWatcher({ store: own, clock, environment, instanceId });
-    operatorPorts.watchers.set(id, watcher);
+    const watcher = new ConfigurationWatcher({
+      store: instanceStore,
+      clock,
+      environment,
+      instanceId,
+    });
+    operatorPortClient.watchers.set(id, watcher);
     await clock.runUntil(watcher.start());
     t.teardown(() => watcher[Symbol.asyncDispose]());
   };
@@ -85,13 +90,13 @@
   t.teardown(() => {
     rmSync(directory, { recursive: true });
   });
-  const file = (mark: number) => {
-    const path = join(directory, `kapiti-${mark}.yaml`);
-    writeFileSync(path, createDocumentText(mark));
+  const file = (documentNumber: number) => {
+    const path = join(directory, `kapiti-${documentNumber}.yaml`);
+    writeFileSync(path, createDocumentText(documentNumber));
     return path;
   };
   const run = <Value>(work: Promise<Value>) => clock.runUntil(work);
-  return { clock, platform, store, operatorPorts, context, start, file, run };
+  return { clock, platform, store, operatorPortClient, context, start, file, run };
 }
 
 async function expectRouterError(
@@ -108,14 +113,14 @@
   await start('trial-1', 'kapiti.trial');
   for (const id of ['i1', 'i2']) await start(id, 'kapiti');
   t.is((await expectRouterError(t, run(runPromote(context, file(10))))).kind, 'notTried');
-  for (const mark of [10, 20]) {
-    const tried = await run(runTry(context, file(mark)));
+  for (const documentNumber of [10, 20]) {
+    const tried = await run(runTry(context, file(documentNumber)));
     t.true(tried.isCertain);
     t.regex(
       tried.text,
       /trial-1 of kapiti\.trial acts on these bytes: they may be promoted\.\nNext:/,
     );
-    const promoted = await run(runPromote(context, file(mark)));
+    const promoted = await run(runPromote(context, file(documentNumber)));
     t.true(promoted.isCertain);
     t.regex(promoted.text, /In force on 2 of 2 listed instances/);
   }
@@ -132,11 +137,11 @@
 // Guards against reporting success while the state of an instance is unknown: one of two instances
 // cannot be reached after a promotion, and the operator may not check again for half a year.
 test('an instance that does not respond is reported as unknown', async (t) => {
-  const { context, start, file, run, operatorPorts } = await setUp(t);
+  const { context, start, file, run, operatorPortClient } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   for (const id of ['i1', 'i2']) await start(id, 'kapiti');
   await run(runTry(context, file(10)));
-  operatorPorts.unreachable.add('i2');
+  operatorPortClient.unreachable.add('i2');
   const promoted = await run(runPromote(context, file(10)));
   t.false(promoted.isCertain);
   t.regex(promoted.text, /In force on 1 of 2 listed instances; 0 not yet, 1 unknown/);
@@ -214,13 +219,13 @@
 });
 
 test('drain accepts only listed instances of the environment', async (t) => {
-  const { context, start, run, operatorPorts } = await setUp(t);
+  const { context, start, run, operatorPortClient } = await setUp(t);
   await start('trial-1', 'kapiti.trial');
   await start('i1', 'kapiti');
   t.regex((await run(runDrain(context, 'kapiti', 'i1'))).text, /2 requests under way are finished/);
   const error = await expectRouterError(t, run(runDrain(context, 'kapiti', 'trial-1')));
   t.regex(error.message, /lists no instance trial-1 of kapiti; it lists: i1/);
-  t.deepEqual(operatorPorts.drained, ['i1']);
+  t.deepEqual(operatorPortClient.drained, ['i1']);
 });
 
 test('explain describes an error kind, and lists all kinds if it is unknown', async (t) => {
--- a/packages/standins/src/scenarios/runScenario/index.ts
+++ b/packages/standins/src/scenarios/runScenario/index.ts
@@ -54,7 +54,7 @@
   const result = await run.execute();
   const runningInstances = fleet.instances.filter(({ id }) => !context.injector.hasCrashed(id));
   await fleet.clock.runUntil(
-    Promise.all(runningInstances.map((one) => one.instance[Symbol.asyncDispose]())),
+    Promise.all(runningInstances.map((local) => local.instance[Symbol.asyncDispose]())),
   );
   return result;
 }
@@ -171,7 +171,7 @@
   }
 
   async #stop(id: string): Promise<void> {
-    const localInstance = this.#fleet.instances.find((one) => one.id === id);
+    const localInstance = this.#fleet.instances.find((local) => local.id === id);
     await Promise.race([
       localInstance?.instance.drain(stopLimitMs),
       this.#context.injector.whenCrashed(id),
@@ -233,7 +233,7 @@
   async #measure(): Promise<ScenarioResult> {
     const outcomes = await Promise.all(this.#requests);
     const answered = outcomes.filter(
-      (one) => one.final !== undefined || one.response !== undefined,
+      (outcome) => outcome.final !== undefined || outcome.response !== undefined,
     );
     const { attempts } = this.#context;
     const kinds = attempts.flatMap(({ error }) => (error === undefined ? [] : [error.kind]));
@@ -248,7 +248,10 @@
       settledTokens: this.#settledTokens(),
       version: this.#version(),
       inForceMs: this.#inForceMs,
-      slowestAttemptMs: Math.max(0, ...attempts.map((one) => one.endedMs - one.startedMs)),
+      slowestAttemptMs: Math.max(
+        0,
+        ...attempts.map((attempt) => attempt.endedMs - attempt.startedMs),
+      ),
     };
     const violations = checkRecords(this.#context).map(
       ({ invariant, what }) => `${invariant}: ${what}`,
--- a/packages/standins/src/scenarios/scenarioSchema/index.ts
+++ b/packages/standins/src/scenarios/scenarioSchema/index.ts
@@ -8,6 +8,7 @@
   .string()
   .regex(durationPattern, 'write a duration such as 200ms, 5s or 10min')
   .transform(parseDuration);
+/** Id of an instance, an upstream or an operator. */
 const actor = z.string().min(1);
 const count = z.number().int().nonnegative();
 
@@ -27,16 +28,30 @@
 const at = { at: duration };
 
 const event = z.union([
+  /** An instance crashes. */
   z.strictObject({ ...at, crash: actor }),
+  /** An instance is added to the fleet. */
   z.strictObject({ ...at, start: actor }),
+  /** Planned stop: an instance is drained, then ended. */
   z.strictObject({ ...at, stop: actor }),
+  /** The process of an actor is paused. */
   z.strictObject({ ...at, pause: actor, for: duration }),
+  /** Actors are cut off from the platform and from their peers. */
   z.strictObject({ ...at, cut: z.array(actor), for: duration }),
+  /** The platform is unavailable to all actors. */
   z.strictObject({ ...at, storeDown: duration }),
+  /** The responses to the actor's next `count` store writes are lost; the writes take effect. */
   z.strictObject({ ...at, loseAnswers: actor, count }),
+  /**
+   * The open connections of an actor to a kind of peer fall silent and new ones work; with `fleet`, all
+   * links between the instance and the others fall silent.
+   */
   z.strictObject({ ...at, silence: actor, to: z.enum(['store', 'engine', 'service', 'fleet']) }),
+  /** An upstream begins to leave: it rejects new requests and finishes those in progress. */
   z.strictObject({ ...at, leave: actor }),
+  /** An operator tops up the budget; the value is the id of the top-up. */
   z.strictObject({ ...at, topUp: z.string(), tokens: count, by: actor.default('operator') }),
+  /** An operator promotes a document with this note, based on version `from`. */
   z.strictObject({
     ...at,
     promote: z.string(),
@@ -50,6 +65,7 @@
 /** Validates a scenario and converts its durations to milliseconds. */
 export const scenarioSchema = z.strictObject({
   name: z.string().min(1),
+  /** What happens in the scenario and which failure it tests, in prose. */
   story: z.string().min(1),
   seed: z.number().int().default(1),
   fleet: z
